--- a/choice/api.go
+++ b/choice/api.go
@@ -1,109 +1,110 @@
-// Package choice decides, for one front of a fleet of query engines with
-// limited memory, which engine runs which query and when.
+// Package choice decides, for one coordinator in front of a fleet of query engines with limited memory, which
+// engine runs which query and when.
 //
-// A Front is driven by timed events and answers with actions. It starts no
-// goroutine, reads no clock, does no input or output and shares nothing; equal
-// settings, seed and events give equal actions. All times are milliseconds.
+// A Scheduler is driven by timed events and answers with actions. It starts no goroutine, reads no clock, does no
+// input or output and shares no state; equal settings, seed and events give equal actions. All times are in
+// milliseconds. Points in time and durations are float64; points in time count from one origin that the caller
+// chooses.
 package choice
 
-// Effect says what a repeat of a request may do.
-type Effect int
+// Idempotency says whether a request may be sent again once an attempt of it may have run.
+type Idempotency int
 
-// The three effect classes.
+// The values of Idempotency.
 const (
-	Safe   Effect = iota // may run any number of times
-	Keyed                // repeats are discarded inside a group and a window
-	Unsafe               // must never run twice
+	Idempotent   Idempotency = iota // may run any number of times
+	Deduplicated                    // engines discard repeats within a DedupScope and a time window
+	AtMostOnce                      // must never run twice
 )
 
-// Group is the set of engines that discards repeats of a Keyed request.
-type Group int
+// DedupScope is the set of engines that discards repeats of a Deduplicated request.
+type DedupScope int
 
-// The groups of engines.
+// The values of DedupScope, relative to the engine that may have run the request.
 const (
-	GroupAll Group = iota
-	GroupZone
-	GroupCell
+	DedupEverywhere DedupScope = iota
+	DedupInZone
+	DedupInCell
 )
 
-// Class describes one class of queries.
+// Class describes one class of queries. Times are in milliseconds.
 type Class struct {
-	Name       string
-	Worth      float64 // of an answer within the aim
-	LateWorth  float64 // share of Worth paid after the aim
-	Aim        float64 // wanted within this time, ms
-	AimStretch float64 // the aim grows by this times work over threads
-	Limit      float64 // total time that a client waits, ms
-	Effect     Effect
-	Group      Group   // Keyed only
-	Window     float64 // Keyed only, ms from the send of the first attempt that may have run
-	InOrder    bool    // requests of one key run in turn
-	Zones      []string
-	Kinds      []string // where it may run; empty means anywhere
-	Threads    float64
-	Load       bool // holds its table group on its engine
-	Waits      bool // stands still while a load holds its group
+	Name           string
+	Value          float64 // of an answer within the latency target
+	LateValueShare float64 // share of Value that a later answer still has
+	LatencyTarget  float64 // for a query without work; see TargetStretch
+	TargetStretch  float64 // the target grows by this times the query's work per thread
+	ClientTimeout  float64 // how long a client waits in all
+	Idempotency    Idempotency
+	DedupScope     DedupScope // of Deduplicated requests
+	DedupWindow    float64    // of Deduplicated requests, from the send of the first attempt that may have run
+	InOrder        bool       // requests with the same order key run one after the other
+	Zones          []string   // in which it may run; empty: in all
+	Kinds          []string   // of engines on which it may run; empty: on all
+	Threads        float64    // on which one query runs
+	IsLoad         bool       // loads data into its table group and holds the group on its engine meanwhile
+	WaitsForLoads  bool       // stands still on its engine while a load holds its table group there
 }
 
-// Kind describes a kind of machine.
+// Kind describes a kind of engine.
 type Kind struct {
 	Name  string
 	Cores float64
 	Mem   float64 // MB
 }
 
-// Tenant describes a customer and its share.
+// Tenant describes a tenant and its share of the fleet.
 type Tenant struct {
 	Name  string
-	Quota float64 // requests a second over all fronts
+	Quota float64 // requests per second over all coordinators; 0: no quota
 	Share float64
 }
 
-// Settings are told once, at the start of a Front.
+// Settings configure a Scheduler and do not change during its life. Times are in milliseconds.
 type Settings struct {
-	Seed           int64
-	Front, Fronts  int // this front's number, and how many there are
-	Zone           string
-	Classes        []Class
-	Kinds          []Kind
-	Tenants        []Tenant
-	OverWorth      float64 // worth of a request past its tenant's share
-	Ask            bool    // the engine list must be asked for
-	AskEvery       float64 // ms; see Subscribe
-	MaxAttempts    int
-	MostHeld       int  // requests that the front can hold at a time; 0: no limit
-	TwoAttempts    bool // a request may have two attempts out
-	CanCancel      bool
-	CanProbe       bool
-	CanTell        bool // fronts may send each other short messages
-	MostTold       int  // bytes of such a message
-	CanAdvise      bool
-	MaxAdvice      float64 // longest advice that a client follows, ms
-	ProbeReports   bool    // load reports come with probe results only
-	NotePeriod     float64 // ms between notes; 0: none
-	TellsCost      bool    // answers carry Work and Mem
-	GrantsHeeded   bool
-	Pages          bool // queries past an engine's memory are let in, and all slow down
-	RanksHeeded    bool
-	MostGrant      float64 // largest share of an engine's memory for one query
-	DrainGrace     float64 // ms
-	FallMultiple   float64
-	FallFor        float64 // ms
-	ColdFrom       float64
-	WarmAfter      float64 // ms
-	OrderSettle    float64 // ms
-	Rationed       bool
-	RationFree     float64
-	RationShare    float64
-	RationWindow   float64 // ms
-	ProbePrice     float64
-	CrossZonePrice float64
+	Seed                               int64
+	CoordinatorIndex, CoordinatorCount int // this coordinator's number, from 0, and the number of coordinators
+	Zone                               string
+	Classes                            []Class
+	Kinds                              []Kind
+	Tenants                            []Tenant
+	OverQuotaValueShare                float64 // share of its value that a request beyond its tenant's quota has
+	MustSubscribe                      bool    // the engine list comes only after a Subscribe
+	SubscribePeriod                    float64 // within which a failed subscription must be renewed; see Subscribe
+	MaxAttempts                        int     // of one request
+	MaxOpenRequests                    int     // that the coordinator can have open at a time; 0: no limit
+	ParallelAttempts                   bool    // a request may have two attempts open at a time
+	CanCancel                          bool
+	CanProbe                           bool
+	CanSendToPeers                     bool // coordinators can send each other short messages
+	MaxPeerMessageBytes                int
+	CanAdviseRetry                     bool    // a refusal can tell the client when to try again
+	MaxRetryAfter                      float64 // longest such advice that a client follows
+	ReportsOnlyFromProbes              bool    // load reports come with probe results only
+	NoticePeriod                       float64 // between progress notices of an attempt; 0: there are none
+	AnswersCarryCost                   bool    // answers carry Work and Mem
+	GrantsHonored                      bool    // engines honor memory grants
+	MemoryPaging                       bool    // engines accept queries beyond their memory, and all of them slow down
+	PrioritiesHonored                  bool    // engines honor priorities
+	MaxGrantShare                      float64 // largest share of an engine's memory that one query may be granted
+	DrainGrace                         float64 // grace period of a drain
+	OverloadMultiple                   float64 // times its capacity: a cold engine must not get more work; 0: no rule
+	OverloadWindow                     float64 // over which that work is counted
+	ColdCapacityShare                  float64 // share of its capacity that an engine has right after its start
+	WarmUpTime                         float64 // until an engine has its full capacity
+	OrderSettleTime                    float64 // pause of an order key after an attempt that may still run
+	HasRetryRation                     bool
+	RetryRationFree                    float64 // retries allowed per RetryRationWindow whatever the traffic
+	RetryRationShare                   float64 // further retries allowed per request that arrived in the window
+	RetryRationWindow                  float64
+	ProbePrice                         float64
+	CrossZonePrice                     float64
 }
 
-// Status of an engine in the list.
+// Status is the state of an engine in the engine list.
 type Status int
 
-// Engine states.
+// The values of Status.
 const (
 	Healthy Status = iota
 	Draining
@@ -112,56 +113,55 @@
 
 // Engine is an entry of the engine list.
 type Engine struct {
-	ID      string
-	Zone    string
-	Kind    string
-	Size    float64
-	Cell    int
-	Started float64 // time of its last start; 0: long ago
-	Status  Status
+	ID        string
+	Zone      string
+	Kind      string
+	Size      float64
+	Cell      int
+	StartedAt float64 // 0: long ago
+	Status    Status
 }
 
-// Report is an engine's load report; a value is used only if its flag is set.
+// Report is an engine's load report. A value counts only if its Has flag is set.
 type Report struct {
 	Busy, InFlight, Queue, MemShare, DiskShare                float64
 	HasBusy, HasInFlight, HasQueue, HasMemShare, HasDiskShare bool
 }
 
-// Event is something that happened.
+// Event is an input of Scheduler.Step.
 type Event interface{ event() }
 
-// EngineList brings news of engines. Whole means the list is complete, Broken
-// that a Subscribe or Fetch failed.
+// EngineList reports engines that are new or have changed. Complete means that engines not in it no longer exist,
+// Failed that the subscription failed and Engines holds nothing.
 type EngineList struct {
-	Whole, Broken bool
-	Engines       []Engine
+	Complete, Failed bool
+	Engines          []Engine
 }
 
-// Request is a new request, owed exactly one final answer.
+// Request is a new request. It gets exactly one final answer: that of a good Outcome, a Refuse or a Fail.
 type Request struct {
-	ID       string
-	Class    string
-	Tenant   string
-	Key      string // order key
-	Deadline float64
-	Work     float64 // estimate of all its threads' work, 0: none
-	Mem      float64 // estimate, MB, 0: none
-	Tables   string  // its table group
-	Repeat   bool
-	Once     bool // whatever its class allows, it is never sent again once it may have run
-	Learned  bool // Work and Mem are not told but learned: the class's correction of told ones is not theirs
+	ID              string
+	Class           string
+	Tenant          string
+	OrderKey        string  // "": none
+	Deadline        float64 // point in time
+	Work            float64 // estimated CPU ms over all threads; 0: no estimate
+	Mem             float64 // estimated MB; 0: no estimate
+	TableGroup      string
+	Repeat          bool // the client sent it before
+	AtMostOnce      bool // overrides the class's Idempotency
+	EstimateLearned bool // Work and Mem come from earlier runs, so the correction of clients' estimates does not apply
 }
 
 // Result is how an attempt ended.
 type Result int
 
-// The ways in which an attempt ends. The first four prove that it never ran,
-// the last four do not.
+// The values of Result. Those before OK prove that the attempt never ran, those after it do not.
 const (
 	Full Result = iota
 	ConnectFailed
-	Moot
-	Rejected // the engine found the request itself at fault, as any other would
+	NotRun   // it was never sent
+	Rejected // the engine found the request itself invalid, as any other engine would
 	OK
 	Error
 	Timeout
@@ -169,143 +169,144 @@
 	Cancelled
 )
 
-// MayHaveRun tells whether an attempt that ended so, with no good answer, may have taken effect.
+// MayHaveRun reports whether an attempt that ended with this result, other than OK, may have taken effect.
 func (r Result) MayHaveRun() bool { return r > OK }
 
-// Outcome ends an attempt; every Send gets exactly one.
+// Outcome reports the end of an attempt. Each Send gets exactly one.
 type Outcome struct {
-	Request string
-	Attempt int
-	Engine  string
-	Result  Result
-	Took    float64
-	Ended   bool    // the request has ended
-	Work    float64 // ms, when told
-	Mem     float64 // MB, when told
-	Report  Report
+	Request      string
+	Attempt      int
+	Engine       string
+	Result       Result
+	Duration     float64
+	RequestEnded bool    // the client has its final answer
+	Work         float64 // CPU ms; 0: not known
+	Mem          float64 // MB; 0: not known
+	Report       Report
 }
 
-// NoteKind is the kind of a Note.
-type NoteKind int
+// NoticeKind is the kind of a Notice.
+type NoticeKind int
 
-// The kinds of notes.
+// The values of NoticeKind.
 const (
-	NoteProgress NoteKind = 1
-	NoteSpill    NoteKind = 2
-	NoteWait     NoteKind = 3
+	NoticeProgress NoticeKind = 1 // Level is the share done, from 0 to 1
+	NoticeSpill    NoticeKind = 2 // Level is the memory that the query lacks, in MB
+	NoticeWait     NoticeKind = 3 // Level 2: the query stands still behind a load
 )
 
-// Note is word on an attempt that is still out.
-type Note struct {
+// Notice is a progress notice of an attempt that is still running.
+type Notice struct {
 	Request string
 	Attempt int
 	Engine  string
-	Kind    NoteKind
-	Level   float64
+	Kind    NoticeKind
+	Level   float64 // its meaning depends on Kind
 }
 
-// Overdue says that a request's time is over and nobody knows yet whether its attempt still runs. The Outcome follows
-// once that is known. Where a wait that ends proves the end, as in the simulator, there is only the Outcome.
+// Overdue says that a request's deadline has passed and it is not known yet whether its attempt still runs. The
+// Outcome follows once that is known. Where the end of the wait proves that the attempt has ended, as in the
+// simulator, only the Outcome comes.
 type Overdue struct{ Request string }
 
-// Gone says that a request has ended without this front's answer.
-type Gone struct{ Request string }
+// ClientGone says that a request needs no answer any more, as its client is gone.
+type ClientGone struct{ Request string }
 
-// Timer is a Wake come due.
+// Timer says that the time of a Wake has come.
 type Timer struct{ Token string }
 
-// Probed is the result of a Probe.
-type Probed struct {
-	Engine string
-	Result Result
-	Took   float64
-	Report Report
+// ProbeResult is the result of a Probe.
+type ProbeResult struct {
+	Engine   string
+	Result   Result
+	Duration float64
+	Report   Report
 }
 
-// Told is a message from another front; it may come late, twice or garbled.
-type Told struct {
+// PeerMessage is a message from another coordinator. It may come late, twice or malformed.
+type PeerMessage struct {
 	From int
 	Data []byte
 }
 
-// Leaving says that the front ends: each request still open gets its final answer now.
-type Leaving struct{}
-
-func (EngineList) event() {}
-func (Request) event()    {}
-func (Outcome) event()    {}
-func (Note) event()       {}
-func (Overdue) event()    {}
-func (Gone) event()       {}
-func (Timer) event()      {}
-func (Probed) event()     {}
-func (Told) event()       {}
-func (Leaving) event()    {}
-
-// Action is something to do.
+// ShuttingDown says that the coordinator shuts down: each open request gets its final answer now.
+type ShuttingDown struct{}
+
+func (EngineList) event()   {}
+func (Request) event()      {}
+func (Outcome) event()      {}
+func (Notice) event()       {}
+func (Overdue) event()      {}
+func (ClientGone) event()   {}
+func (Timer) event()        {}
+func (ProbeResult) event()  {}
+func (PeerMessage) event()  {}
+func (ShuttingDown) event() {}
+
+// Action is an output of Scheduler.Step.
 type Action interface{ action() }
 
-// Send hands a request to an engine. Timeout 0 means until the client quits.
+// Send sends a request to an engine. It starts the request's next attempt; attempts are numbered from 0.
 type Send struct {
 	Request, Engine string
-	Timeout         float64
-	NotAfter        float64 // time after which it must not go out any more; 0: none but its deadline
+	Timeout         float64 // 0: until the request's deadline
+	NotAfter        float64 // point in time after which it must not be sent any more; 0: none but the deadline
 }
 
-// Terms sets priority (0 to 3) and memory grant for a request.
-type Terms struct {
+// SendOptions sets the priority and the memory grant of the request's next Send.
+type SendOptions struct {
 	Request  string
-	Priority int
-	Grant    float64
+	Priority int     // 0 to 3, 3 is the highest
+	Grant    float64 // MB; 0: the engine's own choice
 }
 
-// Cancel stops the wait for an attempt.
+// Cancel cancels an attempt. Its Outcome still follows.
 type Cancel struct {
 	Request string
 	Attempt int
 }
 
-// Refuse is a final answer: a new try does no harm. ComeBack 0: no advice.
+// Refuse is a final answer that tells the client that it may safely send the request again.
 type Refuse struct {
-	Request  string
-	ComeBack float64
-	Reason   Reason
+	Request    string
+	RetryAfter float64 // advised pause before the next try, in ms; 0: no advice
+	Reason     Reason
 }
 
-// Fail is a final answer that makes no promise.
+// Fail is a final answer that does not say whether the request ran.
 type Fail struct {
 	Request string
 	Reason  Reason
 }
 
-// Wake asks for a Timer event at a time.
+// Wake asks for a Timer event with the same token at a point in time.
 type Wake struct {
 	Token string
 	At    float64
 }
 
-// Probe asks an engine for its report.
+// Probe asks an engine for a load report.
 type Probe struct{ Engine string }
 
-// Subscribe asks for changes of the engine list.
+// Subscribe asks for the engine list and its changes.
 type Subscribe struct{}
 
-// Tell sends a message to the front of that number; it may be lost.
-type Tell struct {
+// SendToPeer sends a message to the coordinator of that number. The message may be lost.
+type SendToPeer struct {
 	To   int
 	Data []byte
 }
 
-// Log adds a line to the front's log.
+// Log adds a line to the coordinator's log.
 type Log struct{ Text string }
 
-func (Send) action()      {}
-func (Terms) action()     {}
-func (Cancel) action()    {}
-func (Refuse) action()    {}
-func (Fail) action()      {}
-func (Wake) action()      {}
-func (Probe) action()     {}
-func (Subscribe) action() {}
-func (Tell) action()      {}
-func (Log) action()       {}
+func (Send) action()        {}
+func (SendOptions) action() {}
+func (Cancel) action()      {}
+func (Refuse) action()      {}
+func (Fail) action()        {}
+func (Wake) action()        {}
+func (Probe) action()       {}
+func (Subscribe) action()   {}
+func (SendToPeer) action()  {}
+func (Log) action()         {}
--- a/choice/attempts.go
+++ b/choice/attempts.go
@@ -1,6 +1,6 @@
 package choice
 
-// Attempts: taking requests, sending, sending again, giving up. Every rule is checked here.
+// Attempts: accepting requests, sending, sending again, refusing and cancelling. Every rule is checked here.
 
 import (
 	"maps"
@@ -8,287 +8,304 @@
 	"slices"
 )
 
-// take accepts a request.
-func (f *Front) take(r Request) {
-	f.taken.add(f.now, 1)
-	f.tookAll++
-	c := f.class(r.Class)
-	q := &request{Request: r, c: c, effect: c.Effect, arrived: f.now, probedAt: math.Inf(-1)}
-	if r.Once { // whatever its class allows
-		q.effect = Unsafe
+// acceptRequest takes a new request in: its value by its tenant's quota, its order key, and its turn among
+// the waiting requests.
+func (f *Scheduler) acceptRequest(r Request) {
+	f.arrivals.add(f.now, 1)
+	f.totalRequests++
+	c := f.classFor(r.Class)
+	q := &request{Request: r, class: c, idempotency: c.Idempotency, arrivedAt: f.now, probedAt: math.Inf(-1)}
+	if r.AtMostOnce { // whatever its class allows
+		q.idempotency = AtMostOnce
 	}
-	q.worth = c.Worth
+	q.value = c.Value
 	if t := f.tenants[r.Tenant]; t != nil && t.Quota > 0 {
-		// Past its quota a tenant's requests are worth little. Which of them no front can tell alone: each is
-		// worth their mean. Danger: a front among many sees few of a tenant; some more are chance, no burst.
-		t.tokens.add(f.now, 1, quotaSpan)
-		quota := t.Quota / 1000 / f.fronts * quotaSpan
-		within := (quota + math.Max(quotaChance, quotaSlack*quota)) / t.tokens.v
-		if within < 1 {
-			q.worth *= within + (1-within)*f.s.OverWorth
-			q.over = within < quotaFar
+		// Requests of a tenant above its quota are worth little. No coordinator alone can tell which of them
+		// are above it, so each is worth their mean. One of many coordinators sees few requests of a tenant:
+		// a few above the quota are chance, not a burst.
+		t.recentRequests.add(f.now, 1, quotaWindowMs)
+		quota := t.Quota / 1000 / f.coordinators * quotaWindowMs
+		withinQuota := (quota + math.Max(quotaSlackRequests, quotaSlackShare*quota)) / t.recentRequests.sum
+		if withinQuota < 1 {
+			q.value *= withinQuota + (1-withinQuota)*f.settings.OverQuotaValueShare
+			q.overQuota = withinQuota < lowPriorityQuotaShare
 		}
 	}
-	f.count(r.Tables, c.Load)
-	f.asking.add(f.now, c.work, askSpan)
+	f.countRequest(r.TableGroup, c.IsLoad)
+	f.requestedWork.add(f.now, c.meanWork, demandWindowMs)
 	f.requests[r.ID] = q
-	if c.InOrder && r.Key != "" {
-		k := f.keys[r.Key]
+	if c.InOrder && r.OrderKey != "" {
+		k := f.orderKeys[r.OrderKey]
 		if k == nil {
-			k = &key{}
-			f.keys[r.Key] = k
+			k = &orderKey{}
+			f.orderKeys[r.OrderKey] = k
 		}
-		q.key = k
-		k.line = append(k.line, q)
+		q.orderKey = k
+		k.queue = append(k.queue, q)
 	}
-	f.queue(q)
+	f.enqueue(q)
 }
 
-// allowed says whether a rule or an engine's health keeps a request from an engine now.
-func (f *Front) allowed(e *engine, q *request) bool {
-	if !e.listed || f.now < e.badUntil || e.sick(q.c, f.now) {
+// isAllowed tells whether the rules and the health of an engine let a request go there now.
+func (f *Scheduler) isAllowed(e *engine, q *request) bool {
+	if !e.listed || f.now < e.pausedUntil || e.pausedFor(q.class, f.now) {
 		return false
 	}
-	if len(q.c.Zones) > 0 && !has(q.c.Zones, e.Zone) || len(q.c.Kinds) > 0 && !has(q.c.Kinds, e.Kind) {
-		return false // rule: placement
+	if len(q.class.Zones) > 0 && !contains(q.class.Zones, e.Zone) ||
+		len(q.class.Kinds) > 0 && !contains(q.class.Kinds, e.Kind) {
+		return false // placement rule
 	}
-	if q.mayRun != nil && (q.effect == Unsafe || q.effect == Keyed &&
-		(f.windowOver(q) || q.c.Group == GroupZone && q.mayRun.Zone != e.Zone ||
-			q.c.Group == GroupCell && q.mayRun.Cell != e.Cell)) {
-		return false // rule: effects
+	if q.mayHaveRunOn != nil && (q.idempotency == AtMostOnce || q.idempotency == Deduplicated &&
+		(f.dedupWindowExpired(q) || q.class.DedupScope == DedupInZone && q.mayHaveRunOn.Zone != e.Zone ||
+			q.class.DedupScope == DedupInCell && q.mayHaveRunOn.Cell != e.Cell)) {
+		return false // rule on repeats of requests that may have run
 	}
-	return f.coldRoom(e, q)
+	return f.withinColdBudget(e, q)
 }
 
-// rationed tells whether one more attempt past the first fits the ration.
-func (f *Front) rationed() bool {
-	if !f.s.Rationed {
+// withinRation tells whether one more attempt beyond a request's first fits the retry ration.
+func (f *Scheduler) withinRation() bool {
+	if !f.settings.HasRetryRation {
 		return true
 	}
-	w := f.s.RationWindow
-	may := f.s.RationFree + f.s.RationShare*f.taken.sum(f.now-w+f.checkEvery)
-	return f.further.sum(f.now-w-f.checkEvery)+1 <= may
+	period := f.settings.RetryRationWindow
+	allowed := f.settings.RetryRationFree +
+		f.settings.RetryRationShare*f.arrivals.sumSince(f.now-period+f.checkInterval)
+	return f.retries.sumSince(f.now-period-f.checkInterval)+1 <= allowed
 }
 
-// send is the one place that sends; every rule is checked here, whatever path led to it.
-func (f *Front) send(q *request, e *engine, t float64) bool {
+// send is the only place that sends attempts. It checks every rule, whatever path led to it, and tells
+// whether it sent.
+func (f *Scheduler) send(q *request, e *engine, expected float64) bool {
 	switch {
-	case q.ended, q.sends >= max(f.s.MaxAttempts, 1),
-		len(q.out) > 0 && !(f.s.TwoAttempts && q.effect == Safe),
-		!f.allowed(e, q), // drains, effects, cold engines, placement
-		q.key != nil && (q.key.line[0] != q || f.now < q.key.restUntil), // order
-		q.sends > 0 && !f.rationed():                                    // ration
+	case q.ended, q.sendCount >= max(f.settings.MaxAttempts, 1),
+		len(q.openAttempts) > 0 && !(f.settings.ParallelAttempts && q.idempotency == Idempotent),
+		!f.isAllowed(e, q), // drains, repeats, cold engines, placement
+		q.orderKey != nil && (q.orderKey.queue[0] != q || f.now < q.orderKey.settlesAt), // order key
+		q.sendCount > 0 && !f.withinRation():                                            // retry ration
 		return false
 	}
-	if q.sends > 0 {
-		f.further.add(f.now, 1)
-		f.settle(q)
+	if q.sendCount > 0 {
+		f.retries.add(f.now, 1)
+		f.restOrderKey(q)
 	}
-	rank, grant := f.rank(q), 0.0
-	// Danger: estimates of memory too low by class make queries spill; their extra work then fills the disks.
-	if f.s.GrantsHeeded && f.s.NotePeriod > 0 { // spills are told
-		grant = q.Mem * q.c.grant
+	priority, grant := f.priority(q), 0.0
+	// Where a class's memory estimates are too low, its queries spill, and this extra work fills the disks.
+	if f.settings.GrantsHonored && f.settings.NoticePeriod > 0 { // progress notices report spills
+		grant = q.Mem * q.class.grantRatio
 	}
-	if f.s.RanksHeeded && rank != 1 || grant > 0 {
-		f.do(Terms{q.ID, rank, grant})
+	if f.settings.PrioritiesHonored && priority != 1 || grant > 0 {
+		f.emit(SendOptions{q.ID, priority, grant})
 	}
-	f.do(Send{Request: q.ID, Engine: e.ID, NotAfter: f.windowEnd(q)})
-	a := &attempt{q: q, e: e, n: q.sends, rank: rank, sent: f.now, expect: t, warm: f.warmOn(e, q),
-		light: f.load(e) < lightLoad, scale: f.scale(e, q.c.Threads), base: f.work(q) / q.c.Threads}
-	a.note = a.sent
-	q.sends++
-	q.out = append(q.out, a)
-	e.out = append(e.out, a)
-	e.threads += q.c.Threads
-	f.threads += q.c.Threads
-	f.byRank[rank] += q.c.Threads
-	e.tables[q.Tables] = f.now
-	e.abroad = append(e.abroad, abroad{f.now, q.c.Threads, math.Max(t, 1)})
-	if q.density < f.meanDensity() { // few and costly
-		f.tell(e, packNews(newsSend, e, q.c.Threads, t/newsLong, 0))
+	f.emit(Send{Request: q.ID, Engine: e.ID, NotAfter: f.dedupWindowEnd(q)})
+	a := &attempt{request: q, engine: e, number: q.sendCount, priority: priority, sentAt: f.now,
+		expectedTime: expected, warm: f.isWarm(e, q),
+		underLightLoad: f.engineLoad(e) < uncrowdedLoad, loadSlowdown: f.loadSlowdown(e, q.class.Threads),
+		unloadedTime: f.predictWork(q) / q.class.Threads}
+	a.lastProgressAt = a.sentAt
+	q.sendCount++
+	q.openAttempts = append(q.openAttempts, a)
+	e.openAttempts = append(e.openAttempts, a)
+	e.threadsOut += q.class.Threads
+	f.threadsOut += q.class.Threads
+	f.threadsByPriority[priority] += q.class.Threads
+	e.tableGroupSentAt[q.TableGroup] = f.now
+	e.recentSends = append(e.recentSends, recentSend{f.now, q.class.Threads, math.Max(expected, 1)})
+	if q.valueDensity < f.meanValueDensity() { // only costly ones, which are few
+		f.sendToPeers(e, encodePeerItem(peerItemSend, e, q.class.Threads, expected/peerRunStepMs, 0))
 	}
-	e.coldSent.add(f.now, math.Max(f.work(q), q.c.work))
+	e.workSent.add(f.now, math.Max(f.predictWork(q), q.class.meanWork))
 	return true
 }
 
-// windowEnd is until when a request that may have run may be sent again, as a connection for it may come up
-// late. 0: no bound.
-func (f *Front) windowEnd(q *request) float64 {
-	if q.mayRun == nil || q.effect != Keyed {
+// dedupWindowEnd is the time until which a request that may have run may be sent again, since a connection
+// for it may open late; 0 means no bound.
+func (f *Scheduler) dedupWindowEnd(q *request) float64 {
+	if q.mayHaveRunOn == nil || q.idempotency != Deduplicated {
 		return 0
 	}
-	return q.mayRunAt + q.c.Window
+	return q.mayHaveRunSince + q.class.DedupWindow
 }
 
-// outcome handles the end of an attempt.
-func (f *Front) outcome(o Outcome) {
+// handleOutcome handles the end of an attempt: it learns from it, then ends the request, refuses it or puts
+// it back in the queue.
+func (f *Scheduler) handleOutcome(o Outcome) {
 	q := f.requests[o.Request]
 	if q == nil {
 		return
 	}
-	a := f.drop(q, o.Attempt)
+	a := f.removeAttempt(q, o.Attempt)
 	if a == nil {
 		return
 	}
-	e, c := a.e, q.c
-	f.heed(e, o.Report)
+	e, c := a.engine, q.class
+	f.applyReport(e, o.Report)
 	switch o.Result {
 	case OK:
-		f.learn(a, o)
-		v := q.worth
-		if f.now > q.aimAt {
-			v *= c.LateWorth
+		f.learnFromAnswer(a, o)
+		value := q.value
+		if f.now > q.targetAt {
+			value *= c.LateValueShare
 		}
-		f.earned.add(f.now, v, earnSpan)
-		if !a.spilt {
-			c.grant = math.Max(c.grant*grantDown, 1/clip)
+		f.servedValue.add(f.now, value, servedValueWindowMs)
+		if !a.spilled {
+			c.grantRatio = math.Max(c.grantRatio*grantDecayRatio, 1/maxOutcomeRatio)
 		}
-		if q.slow > 0 {
-			c.regain, c.regainAt = f.regain(c)+(math.Min(o.Took/q.slow, 2)-f.regain(c))*regainLearn, f.now
+		if q.slowDuration > 0 {
+			c.restartShare, c.restartShareAt = f.restartShare(c)+
+				(math.Min(o.Duration/q.slowDuration, 2)-f.restartShare(c))*restartLearnRate, f.now
 		}
-		e.heard, e.okAt, e.fails, e.errors = f.now, f.now, 0, 0
-		delete(e.ills, c)
-	case Full: // danger: an engine that takes nothing answers at once and, with nothing of ours, looks idle
-		e.heard = f.now
-		if f.sicken(e, c); f.now-e.okAt > trialFirst {
-			f.fail(e)
+		e.lastHeardAt, e.lastOKAt, e.failures, e.errorsInRow = f.now, f.now, 0, 0
+		delete(e.healthByClass, c)
+	case Full: // an engine that takes nothing answers at once and, with no attempts out, looks idle
+		e.lastHeardAt = f.now
+		if f.pauseForClass(e, c); f.now-e.lastOKAt > initialPauseMs {
+			f.pauseEngine(e)
 		}
 	case Error, Reset:
-		// Danger: an engine that fails fast looks idle and draws all traffic. A single reset may be a poor
+		// An engine that fails fast looks idle and draws all traffic. A single reset may be due to a poor
 		// link.
 		if o.Result == Error {
-			e.heard = f.now
+			e.lastHeardAt = f.now
 		}
-		if f.blame(q, e); e.ill(c).errors >= errorsBad {
-			f.sicken(e, c)
+		if f.countError(q, e); e.healthFor(c).errorsInRow >= suspectAfterErrors {
+			f.pauseForClass(e, c)
 		}
-		if e.errors >= errorsBad {
-			f.fail(e)
+		if e.errorsInRow >= suspectAfterErrors {
+			f.pauseEngine(e)
 			if o.Result == Reset {
-				e.backAt = e.badUntil
+				e.assumedStartAt = e.pausedUntil
 			}
 		}
 	case ConnectFailed:
-		f.fail(e)
-		e.backAt = e.badUntil
+		f.pauseEngine(e)
+		e.assumedStartAt = e.pausedUntil
 	case Rejected:
 		q.rejected = true
 	}
-	if o.Result.MayHaveRun() && q.mayRun == nil {
-		q.mayRun, q.mayRunAt = e, a.sent
+	if o.Result.MayHaveRun() && q.mayHaveRunOn == nil {
+		q.mayHaveRunOn, q.mayHaveRunSince = e, a.sentAt
 	}
 	if o.Result == Timeout || o.Result == Reset || o.Result == Cancelled {
-		q.unproved = true
-		f.settle(q)
+		q.mayStillRun = true
+		f.restOrderKey(q)
 	}
 	switch {
-	case q.ended || o.Ended:
-		f.end(q)
-	case len(q.out) > 0: // another attempt is still out
-	case f.poison(q):
-		f.giveUp(q, ReasonFaulty)
-	case q.mayRun != nil && q.effect == Unsafe:
-		f.giveUp(q, ReasonMayHaveRun)
-	case o.Result == Timeout && f.now >= q.Deadline-f.lastCall:
-		f.giveUp(q, ReasonDeadline)
+	case q.ended || o.RequestEnded:
+		f.endRequest(q)
+	case len(q.openAttempts) > 0: // another attempt is still out
+	case f.isFaulty(q):
+		f.refuseOrFail(q, ReasonFaulty)
+	case q.mayHaveRunOn != nil && q.idempotency == AtMostOnce:
+		f.refuseOrFail(q, ReasonMayHaveRun)
+	case o.Result == Timeout && f.now >= q.Deadline-f.finalAnswerMargin:
+		f.refuseOrFail(q, ReasonDeadline)
 	default:
-		f.queue(q)
+		f.enqueue(q)
 	}
 }
 
-// settle rests the key of a request whose attempt ended with no proof. Danger: nobody else knows that it is
-// taken for over before the next one goes, or the final answer: the rest counts from then.
-func (f *Front) settle(q *request) {
-	if q.key != nil && q.unproved {
-		q.key.restUntil = math.Max(q.key.restUntil, f.now+f.s.OrderSettle)
+// restOrderKey keeps the next request of an order key back for a while if an attempt ended without proof that
+// it runs no more. The time counts from the next send or the final answer, as nobody else knows before then
+// that the attempt is taken to be over.
+func (f *Scheduler) restOrderKey(q *request) {
+	if q.orderKey != nil && q.mayStillRun {
+		q.orderKey.settlesAt = math.Max(q.orderKey.settlesAt, f.now+f.settings.OrderSettleTime)
 	}
 }
 
-// move cancels an attempt so that its request can go elsewhere, where class, ration and our own bound on such
-// moves allow it.
-func (f *Front) move(a *attempt) {
-	q := a.q
-	if !f.s.CanCancel || a.cancelled || q.ended || q.effect != Safe {
+// moveAttempt cancels an attempt so that its request can go to another engine, where its class, the retry
+// ration and the bound on such moves allow it.
+func (f *Scheduler) moveAttempt(a *attempt) {
+	q := a.request
+	if !f.settings.CanCancel || a.cancelled || q.ended || q.idempotency != Idempotent {
 		return
 	}
-	if q.sends >= f.s.MaxAttempts || !f.rationed() ||
-		f.moves.sum(f.now-moveWindow) >= moveFree+moveShare*f.taken.sum(f.now-moveWindow) {
+	if q.sendCount >= f.settings.MaxAttempts || !f.withinRation() ||
+		f.moves.sumSince(f.now-moveWindowMs) >= freeMoves+
+			movesPerRequest*f.arrivals.sumSince(f.now-moveWindowMs) {
 		return
 	}
 	f.moves.add(f.now, 1)
-	q.moved++
-	f.cancel(a)
+	q.moveCount++
+	f.cancelAttempt(a)
 }
 
-func (f *Front) cancel(a *attempt) {
-	if f.s.CanCancel && !a.cancelled {
+// cancelAttempt cancels an attempt once, where attempts can be cancelled.
+func (f *Scheduler) cancelAttempt(a *attempt) {
+	if f.settings.CanCancel && !a.cancelled {
 		a.cancelled = true
-		f.do(Cancel{a.q.ID, a.n})
+		f.emit(Cancel{a.request.ID, a.number})
 	}
 }
 
-// giveUp gives the final answer at once: a refusal with advice where a new try does no harm, else a failure.
-func (f *Front) giveUp(q *request, why Reason) {
-	f.settle(q)
-	if !f.poison(q) && f.harmless(q) {
-		// The advice is spread by lot: those refused at once must not all be back at once.
-		advice := f.s.MaxAdvice * adviceShare * (0.5 + f.rng.Float64())
-		if !f.s.CanAdvise {
-			advice = 0
+// refuseOrFail gives the final answer at once: a refusal with retry advice where a repeat does no harm, else
+// a failure.
+func (f *Scheduler) refuseOrFail(q *request, reason Reason) {
+	f.restOrderKey(q)
+	if !f.isFaulty(q) && f.safeToRepeat(q) {
+		// The advice is random, so that clients refused at the same time do not all return at the same time.
+		retryAfter := f.settings.MaxRetryAfter * retryAdviceShare * (0.5 + f.rng.Float64())
+		if !f.settings.CanAdviseRetry {
+			retryAfter = 0
 		}
-		f.do(Refuse{q.ID, advice, why})
+		f.emit(Refuse{q.ID, retryAfter, reason})
 	} else {
-		f.do(Fail{q.ID, why})
+		f.emit(Fail{q.ID, reason})
 	}
-	f.end(q)
+	f.endRequest(q)
 }
 
-// harmless tells whether a client's new try of a request does no harm now.
-func (f *Front) harmless(q *request) bool {
-	first := q.mayRunAt
-	if q.mayRun == nil {
-		if len(q.out) == 0 {
+// safeToRepeat tells whether a client's retry of a request does no harm now.
+func (f *Scheduler) safeToRepeat(q *request) bool {
+	firstSent := q.mayHaveRunSince
+	if q.mayHaveRunOn == nil {
+		if len(q.openAttempts) == 0 {
 			return true
 		}
-		first = q.out[0].sent
+		firstSent = q.openAttempts[0].sentAt
 	}
-	inWindow := f.now < first+q.c.Window-f.checkEvery
-	return q.effect == Safe || q.effect == Keyed && q.c.Group == GroupAll && inWindow
+	inWindow := f.now < firstSent+q.class.DedupWindow-f.checkInterval
+	return q.idempotency == Idempotent ||
+		q.idempotency == Deduplicated && q.class.DedupScope == DedupEverywhere && inWindow
 }
 
-// windowOver tells that a keyed request may have run, and that no engine drops a repeat of it any more.
-func (f *Front) windowOver(q *request) bool {
-	return q.mayRun != nil && q.effect == Keyed && f.now >= q.mayRunAt+q.c.Window-f.checkEvery
+// dedupWindowExpired tells whether a request with deduplicated repeats may have run so long ago that engines
+// no longer discard a repeat.
+func (f *Scheduler) dedupWindowExpired(q *request) bool {
+	return q.mayHaveRunOn != nil && q.idempotency == Deduplicated &&
+		f.now >= q.mayHaveRunSince+q.class.DedupWindow-f.checkInterval
 }
 
-// abandon calls off what is out of a request and gives it up.
-func (f *Front) abandon(q *request, why Reason) {
+// cancelAndRefuse cancels a request's attempts and gives its final answer.
+func (f *Scheduler) cancelAndRefuse(q *request, reason Reason) {
 	if q == nil || q.ended {
 		return
 	}
-	f.cancelAll(q)
-	f.giveUp(q, why)
+	f.cancelAttempts(q)
+	f.refuseOrFail(q, reason)
 }
 
-// gone calls off what is out of a request whose client has left, and ends it: no answer is owed.
-func (f *Front) gone(q *request) {
+// cancelRequest cancels the attempts of a request whose client has left and ends it; no answer is owed.
+func (f *Scheduler) cancelRequest(q *request) {
 	if q == nil || q.ended {
 		return
 	}
-	f.cancelAll(q)
-	f.end(q)
+	f.cancelAttempts(q)
+	f.endRequest(q)
 }
 
-// cancelAll keeps work that no client waits for any more from staying on the engines.
-func (f *Front) cancelAll(q *request) {
-	for _, a := range q.out {
-		f.cancel(a)
+// cancelAttempts cancels a request's attempts, so that engines do no work that no client waits for.
+func (f *Scheduler) cancelAttempts(q *request) {
+	for _, a := range q.openAttempts {
+		f.cancelAttempt(a)
 	}
 }
 
-// leave gives all open requests up, in the order of their ids: equal events give equal actions.
-func (f *Front) leave() {
+// shutDown gives every open request its final answer, in the order of their ids, so that equal events give
+// equal actions.
+func (f *Scheduler) shutDown() {
 	for _, id := range slices.Sorted(maps.Keys(f.requests)) {
-		f.abandon(f.requests[id], ReasonShutdown)
+		f.cancelAndRefuse(f.requests[id], ReasonShutdown)
 	}
 }
--- a/choice/health.go
+++ b/choice/health.go
@@ -1,144 +1,161 @@
 package choice
 
-// Health: which engines are kept from what, and for how long.
+// Health: which engines get no requests, or none of one class, and for how long.
 
 import (
 	"math"
 	"slices"
 )
 
-// sweep is the regular check of what is out: hung engines, bad plans, probes, the list.
-func (f *Front) sweep() {
+// sweep is the regular check of what is out: unresponsive engines, lost attempts, bad plans and slots. It
+// also sends probes and subscribes to the engine list.
+func (f *Scheduler) sweep() {
 	for _, e := range f.engines {
-		silent := f.silence(e)
-		if len(e.out) == 1 { // one silent attempt says little of its engine: its class's tail counts
-			silent /= e.out[0].q.c.tail
+		missed := f.missedAnswers(e)
+		// One silent attempt says little about its engine, so its class's tail is allowed for.
+		if len(e.openAttempts) == 1 {
+			missed /= e.openAttempts[0].request.class.tailRatio
 		}
-		hung := silent > hungTimes && f.now-math.Max(e.heard, e.out[0].sent) > f.hungLeast
-		if hung {
-			f.fail(e)
+		unresponsive := missed > unresponsiveMissedAnswers &&
+			f.now-math.Max(e.lastHeardAt, e.openAttempts[0].sentAt) > f.minUnresponsiveSilence
+		if unresponsive {
+			f.pauseEngine(e)
 		}
-		for _, a := range e.out {
-			fresh := a.base * f.avgCold * a.scale
-			// Danger: a bad plan runs many times longer. A fresh attempt is likely to do better, but not
-			// twice.
-			left := a.total - (f.now - a.sent)
-			heavy, again := badPlan, math.Max(2*fresh, 1.5*a.total*f.regain(a.q.c))
-			if a.q.Work <= 0 { // with no estimate, a query heavy by itself looks like a bad plan
-				heavy = badGuess
+		for _, a := range e.openAttempts {
+			freshTime := a.unloadedTime * f.meanColdFactor * a.loadSlowdown
+			// A bad plan makes a query run many times longer. A restarted attempt is likely to do better, but
+			// a second restart is not.
+			timeLeft := a.projectedTime - (f.now - a.sentAt)
+			maxRatio, restartTime := badPlanRatio,
+				math.Max(2*freshTime, 1.5*a.projectedTime*f.restartShare(a.request.class))
+			if a.request.Work <= 0 { // without an estimate, a heavy query looks like a bad plan
+				maxRatio = badPlanRatioNoEstimate
 			}
-			bad := a.total > heavy*fresh && left > again && a.q.moved == 0
-			lost := f.lost(a)
-			if bad || lost && a.q.slow == 0 {
-				a.q.slow = math.Max(a.total, f.now-a.sent)
+			badPlan := a.projectedTime > maxRatio*freshTime &&
+				timeLeft > restartTime && a.request.moveCount == 0
+			lost := f.isLost(a)
+			if badPlan || lost && a.request.slowDuration == 0 {
+				a.request.slowDuration = math.Max(a.projectedTime, f.now-a.sentAt)
 			}
-			if hung || bad || lost {
-				f.move(a)
+			if unresponsive || badPlan || lost {
+				f.moveAttempt(a)
 			}
 		}
 	}
-	f.yield()
-	f.forget()
-	if !f.many { // with many fronts, probes go to a costly query's candidates just before it is sent
+	f.evictLowValue()
+	f.dropExpiredState()
+	if !f.manyPeers { // else decideRequest probes a costly query's candidates just before it is sent
 		f.probe(f.engines)
 	}
-	if f.s.Ask && !f.asked && f.now >= f.askAt {
-		f.asked = true
-		f.do(Subscribe{})
+	if f.settings.MustSubscribe && !f.subscribed && f.now >= f.subscribeAt {
+		f.subscribed = true
+		f.emit(Subscribe{})
 	}
 }
 
-// lost tells that an attempt most likely vanished: its notes stay out, or it is silent for longer than nearly
-// all answers of its class. It may hurt a very heavy query: without notes, only for first moves.
-func (f *Front) lost(a *attempt) bool {
-	silent := f.now - math.Max(a.sent, a.note)
-	periods := lostNext
-	if a.note == a.sent {
-		periods = lostFirst
+// isLost tells whether an attempt has most likely vanished: its progress notices stay out, or, without any
+// notice, it is silent for longer than nearly all answers of its class take. The second test may also hit a
+// very heavy query, so it applies only until the request was moved maxLostMoves times.
+func (f *Scheduler) isLost(a *attempt) bool {
+	silence := f.now - math.Max(a.sentAt, a.lastProgressAt)
+	noticePeriods := lostNoticePeriods
+	if a.lastProgressAt == a.sentAt {
+		noticePeriods = initialLostNoticePeriods
 	}
-	if f.s.NotePeriod > 0 && silent > math.Max(periods*f.s.NotePeriod, f.hungLeast) {
+	if f.settings.NoticePeriod > 0 &&
+		silence > math.Max(noticePeriods*f.settings.NoticePeriod, f.minUnresponsiveSilence) {
 		return true
 	}
-	return !a.noted && silent*math.Max(1-f.regain(a.q.c), 0.05) > a.q.c.tail*a.expect && a.q.moved < lostMoves
+	return !a.hasNotice &&
+		silence*math.Max(1-f.restartShare(a.request.class), 0.05) >
+			a.request.class.tailRatio*a.expectedTime &&
+		a.request.moveCount < maxLostMoves
 }
 
-// fail pauses an engine; each further failure doubles the pause, one attempt then tries it again.
-func (f *Front) fail(e *engine) {
-	if f.now < e.badUntil {
+// pauseEngine sends an engine nothing for a while. Each further failure doubles the pause, after which one
+// attempt tries the engine again.
+func (f *Scheduler) pauseEngine(e *engine) {
+	if f.now < e.pausedUntil {
 		return
 	}
-	e.badUntil = f.now + f.pause(e.fails)
-	e.fails++
+	e.pausedUntil = f.now + f.pauseDuration(e.failures)
+	e.failures++
 }
 
-func (f *Front) pause(fails int) float64 {
-	return math.Min(trialFirst*math.Pow(2, float64(fails)), trialMost) * (1 + f.rng.Float64()/4)
+// pauseDuration is the length in ms of a pause after so many failures, with a random part.
+func (f *Scheduler) pauseDuration(fails int) float64 {
+	return math.Min(initialPauseMs*math.Pow(2, float64(fails)), maxPauseMs) * (1 + f.rng.Float64()/4)
 }
 
-// blame counts an error against its engine. Danger: a request that fails wherever it goes would have every
-// engine paused; from the second engine on it counts against none.
-func (f *Front) blame(q *request, e *engine) {
-	if !slices.Contains(q.erred, e) {
-		if q.erred = append(q.erred, e); len(q.erred) == 2 {
-			q.erred[0].errors = max(q.erred[0].errors-1, 0)
+// countError counts an error against its engine. Once a request has failed on two engines it counts against
+// none: a request that fails wherever it goes would otherwise pause every engine.
+func (f *Scheduler) countError(q *request, e *engine) {
+	if !slices.Contains(q.failedOn, e) {
+		if q.failedOn = append(q.failedOn, e); len(q.failedOn) == 2 {
+			q.failedOn[0].errorsInRow = max(q.failedOn[0].errorsInRow-1, 0)
 		}
 	}
-	if len(q.erred) < 2 {
-		e.errors++
-		i := e.ill(q.c)
-		i.errors++
-		e.ills[q.c] = i
+	if len(q.failedOn) < 2 {
+		e.errorsInRow++
+		health := e.healthFor(q.class)
+		health.errorsInRow++
+		e.healthByClass[q.class] = health
 	}
 }
 
-// sicken pauses an engine for one class. Danger: an engine that fails one class and answers the others looks
-// well; and were it paused for all, the others would lose it.
-func (f *Front) sicken(e *engine, c *class) {
-	i := e.ill(c)
-	if f.now >= i.until {
-		i.until = f.now + f.pause(i.fails)
-		i.fails++
-		e.ills[c] = i
+// pauseForClass pauses an engine for one class. An engine that fails one class and answers the others looks
+// healthy, and pausing it for all classes would take it from the others.
+func (f *Scheduler) pauseForClass(e *engine, c *class) {
+	health := e.healthFor(c)
+	if f.now >= health.pausedUntil {
+		health.pausedUntil = f.now + f.pauseDuration(health.failures)
+		health.failures++
+		e.healthByClass[c] = health
 	}
 }
 
-// sick tells whether a class must not go there now: it is paused, or one attempt is trying it again.
-func (e *engine) sick(c *class, now float64) bool {
-	i := e.ills[c]
-	trying := func(a *attempt) bool { return a.q.c == c }
-	return now < i.until || i.fails > 0 && slices.ContainsFunc(e.out, trying)
+// pausedFor tells whether requests of a class must not go to the engine now: it is paused for the class, or
+// an attempt of the class is already trying it again.
+func (e *engine) pausedFor(c *class, now float64) bool {
+	health := e.healthByClass[c]
+	trying := func(a *attempt) bool { return a.request.class == c }
+	return now < health.pausedUntil || health.failures > 0 && slices.ContainsFunc(e.openAttempts, trying)
 }
 
-// poison tells that a request is at fault itself: an engine said so, or it has failed on so many.
-func (f *Front) poison(q *request) bool {
-	return q.rejected || len(q.erred) >= max(2, min(errorsMost, len(f.usable)))
+// isFaulty tells whether a request is itself at fault: an engine rejected it, or it failed on several
+// engines.
+func (f *Scheduler) isFaulty(q *request) bool {
+	return q.rejected || len(q.failedOn) >= max(2, min(maxFailedEngines, len(f.usable)))
 }
 
-// probe asks engines for their load where reports come no other way, within a share of the traffic.
-func (f *Front) probe(engines []*engine) (asked bool) {
+// probe asks engines for their load reports where these come no other way, at most maxProbesPerRequest per
+// request received, and tells whether it asked any.
+func (f *Scheduler) probe(engines []*engine) (sent bool) {
 	for _, e := range engines {
-		if f.s.CanProbe && e.listed && f.now-e.probedAt >= probeEvery && f.now-e.reportAt >= probeFresh &&
-			f.probes < probeShare*f.tookAll {
-			e.probedAt, asked = f.now, true
-			f.probes++
-			f.do(Probe{e.ID})
+		if f.settings.CanProbe && e.listed && f.now-e.probedAt >= probeIntervalMs &&
+			f.now-e.reportedAt >= probeMinReportAgeMs && f.totalProbes < maxProbesPerRequest*f.totalRequests {
+			e.probedAt, sent = f.now, true
+			f.totalProbes++
+			f.emit(Probe{e.ID})
 		}
 	}
-	return asked
+	return sent
 }
 
-// probed takes a probe's result.
-func (f *Front) probed(p Probed) {
-	e := f.byID[p.Engine]
+// handleProbeResult applies a probe's load report and sends it to the peers. A failed connection pauses the
+// engine, which counts as restarted when the pause ends.
+func (f *Scheduler) handleProbeResult(result ProbeResult) {
+	e := f.engineByID[result.Engine]
 	if e == nil {
 		return
 	}
-	switch p.Result {
+	switch result.Result {
 	case OK:
-		f.heed(e, p.Report)
-		f.tell(e, packNews(newsReport, e, e.report/newsStep, e.memory/newsStep, 0))
+		f.applyReport(e, result.Report)
+		f.sendToPeers(e, encodePeerItem(peerItemReport, e,
+			e.reportedLoad/peerLoadStep, e.grantedMemShare/peerLoadStep, 0))
 	case ConnectFailed, Reset:
-		f.fail(e)
-		e.backAt = e.badUntil
+		f.pauseEngine(e)
+		e.assumedStartAt = e.pausedUntil
 	}
 }
--- a/choice/health_test.go
+++ b/choice/health_test.go
@@ -4,164 +4,173 @@
 	"testing"
 )
 
-// Danger: an engine that goes silent with work out loses its attractiveness, then its work.
-func TestHungEngine(t *testing.T) {
-	r := newRig(t, base(), eng("e1"), eng("e2"))
-	hung := r.one(r.step(1, req("a", "quick", r))).Engine
+// An engine that stops answering keeps its good latency figures, and would keep its attempts. These must be cancelled, and
+// their requests sent to another engine.
+func TestUnresponsiveEngineLosesItsWork(t *testing.T) {
+	h := newHarness(t, testSettings(), testEngine("e1"), testEngine("e2"))
+	silent := h.requireOneSend(h.step(1, testRequest("a", "quick", h))).Engine
 	cancelled := false
 	for i := 0; i < 18 && !cancelled; i++ {
-		for _, a := range r.step(100, Timer{"check"}) {
+		for _, a := range h.step(100, Timer{"check"}) {
 			_, ok := a.(Cancel)
 			cancelled = cancelled || ok
 		}
 	}
 	if !cancelled {
-		t.Fatal("silent attempt never moved")
+		t.Fatal("attempt on an unresponsive engine not cancelled within 1,800 ms")
 	}
-	if got := r.one(r.step(1, Outcome{Request: "a", Engine: hung, Result: Cancelled})); got.Engine == hung {
-		t.Fatal("sent to the hung engine again")
+	if got := h.requireOneSend(h.step(1, Outcome{Request: "a", Engine: silent, Result: Cancelled})); got.Engine == silent {
+		t.Fatal("sent to the unresponsive engine again")
 	}
 }
 
-// Danger: a lost attempt on an engine that lives is seen by its missing notes.
-func TestLostAttempt(t *testing.T) {
-	s := base()
-	s.NotePeriod = 500
-	r := newRig(t, s, eng("e1"))
-	r.step(1, req("a", "wide", r), req("b", "wide", r))
+// An attempt may be lost while its engine goes on with others, so the engine looks healthy. The attempt's missing progress
+// notices must show the loss.
+func TestLostAttemptIsMoved(t *testing.T) {
+	s := testSettings()
+	s.NoticePeriod = 500
+	h := newHarness(t, s, testEngine("e1"))
+	h.step(1, testRequest("a", "wide", h), testRequest("b", "wide", h))
 	for i := 0; i < 20; i++ {
-		for _, a := range r.step(100, Timer{"check"}, Note{"b", 0, "e1", NoteProgress, 0.5}) {
+		for _, a := range h.step(100, Timer{"check"}, Notice{"b", 0, "e1", NoticeProgress, 0.5}) {
 			if c, ok := a.(Cancel); ok {
 				if c.Request != "a" {
-					t.Fatalf("moved %v", c)
+					t.Fatalf("an attempt with progress notices was cancelled: %v", c)
 				}
 				return
 			}
 		}
 	}
-	t.Fatal("lost attempt never moved")
+	t.Fatal("lost attempt not cancelled within 2,000 ms")
 }
 
-// Danger: an attempt with a bad plan is started anew, once.
-func TestBadPlan(t *testing.T) {
-	s := base()
-	s.NotePeriod = 500
-	r := newRig(t, s, eng("e1"), eng("e2"))
-	got := r.one(r.step(1, req("a", "wide", r)))
-	acts := r.step(500, Note{"a", 0, got.Engine, NoteProgress, 0.01}, Timer{"check"})
-	if len(acts) == 0 || acts[0] != (Cancel{"a", 0}) {
-		t.Fatalf("not cancelled: %v", acts)
+// A query with a bad plan runs many times longer than predicted. Its progress shows this early, and it is cancelled for a
+// fresh start.
+func TestAttemptWithBadPlanIsRestarted(t *testing.T) {
+	s := testSettings()
+	s.NoticePeriod = 500
+	h := newHarness(t, s, testEngine("e1"), testEngine("e2"))
+	got := h.requireOneSend(h.step(1, testRequest("a", "wide", h)))
+	actions := h.step(500, Notice{"a", 0, got.Engine, NoticeProgress, 0.01}, Timer{"check"})
+	if len(actions) == 0 || actions[0] != (Cancel{"a", 0}) {
+		t.Fatalf("attempt that would take 50 s not cancelled: %v", actions)
 	}
 }
 
-// Danger: connection failures pause an engine, ever longer, and one attempt tries it again.
-func TestFailedEngine(t *testing.T) {
-	r := newRig(t, base(), eng("e1"))
-	r.step(1, req("a", "load", r))
-	r.none(r.step(1, Outcome{Request: "a", Engine: "e1", Result: ConnectFailed}))
-	r.none(r.step(1, req("b", "load", r)))
-	if got := sends(r.step(600, Timer{"check"})); len(got) != 1 {
-		t.Fatalf("want one trial, got %v", got)
+// After a failed connection an engine is paused; then a single attempt tries it. All waiting requests at once would fail
+// together if it is still down.
+func TestFailedEngineIsPausedThenTriedOnce(t *testing.T) {
+	h := newHarness(t, testSettings(), testEngine("e1"))
+	h.step(1, testRequest("a", "load", h))
+	h.requireNoSend(h.step(1, Outcome{Request: "a", Engine: "e1", Result: ConnectFailed}))
+	h.requireNoSend(h.step(1, testRequest("b", "load", h)))
+	if got := sendActions(h.step(600, Timer{"check"})); len(got) != 1 {
+		t.Fatalf("want one attempt on the paused engine, got %v", got)
 	}
 }
 
-// Danger: a poor link resets an attempt now and then; the engine stays in use, and is not taken for cold.
-func TestSingleReset(t *testing.T) {
-	r := newRig(t, base(), eng("e1"))
-	r.step(1, req("a", "quick", r), req("b", "quick", r))
-	if got := r.one(r.step(1, Outcome{Request: "a", Engine: "e1", Result: Reset})); got.Engine != "e1" {
+// A poor network link resets an attempt now and then. A single reset must neither pause the engine nor make it count as
+// restarted and cold.
+func TestSingleResetDoesNotPauseEngine(t *testing.T) {
+	h := newHarness(t, testSettings(), testEngine("e1"))
+	h.step(1, testRequest("a", "quick", h), testRequest("b", "quick", h))
+	if got := h.requireOneSend(h.step(1, Outcome{Request: "a", Engine: "e1", Result: Reset})); got.Engine != "e1" {
 		t.Fatal(got)
 	}
-	r.f.now = r.now
-	if share := r.f.coldShare(r.f.engines[0]); share != 1 {
-		t.Fatalf("taken for cold: %v", share)
+	h.scheduler.now = h.now
+	if share := h.scheduler.slowStartShare(h.scheduler.engines[0]); share != 1 {
+		t.Fatalf("counts as cold after one reset: share of its capacity %v, want 1", share)
 	}
 }
 
-// Danger: an engine whose attempts all fail fast looks idle; it is paused after three in a row.
-func TestFailsFast(t *testing.T) {
+// An engine whose attempts all fail fast looks idle and would attract all traffic. It must be paused after three failures in
+// a row.
+func TestFastFailingEngineIsPaused(t *testing.T) {
 	for _, res := range []Result{Error, Reset} {
-		r := newRig(t, base(), eng("e1"))
-		r.step(1, req("a", "quick", r), req("b", "quick", r), req("c", "quick", r))
-		acts := r.step(1, Outcome{Request: "a", Engine: "e1", Result: res}, Outcome{Request: "b", Engine: "e1", Result: res},
+		h := newHarness(t, testSettings(), testEngine("e1"))
+		h.step(1, testRequest("a", "quick", h), testRequest("b", "quick", h), testRequest("c", "quick", h))
+		actions := h.step(1, Outcome{Request: "a", Engine: "e1", Result: res}, Outcome{Request: "b", Engine: "e1", Result: res},
 			Outcome{Request: "c", Engine: "e1", Result: res})
-		r.none(acts)
+		h.requireNoSend(actions)
 	}
 }
 
-// Danger: a class whose queries are heavy by themselves gains nothing from fresh starts.
-func TestRegain(t *testing.T) {
-	s := base()
-	s.NotePeriod = 500
-	r := newRig(t, s, eng("e1"), eng("e2"))
-	c := r.f.classes["wide"]
-	c.regain, c.regainAt = 1, r.now
-	got := r.one(r.step(1, req("a", "wide", r)))
-	for _, a := range r.step(500, Note{"a", 0, got.Engine, NoteProgress, 0.05}, Timer{"check"}) {
+// Queries of some classes take long without a bad plan. Once fresh starts of a class have saved nothing, its slow attempts
+// must not be restarted.
+func TestHeavyClassIsNotRestarted(t *testing.T) {
+	s := testSettings()
+	s.NoticePeriod = 500
+	h := newHarness(t, s, testEngine("e1"), testEngine("e2"))
+	c := h.scheduler.classes["wide"]
+	c.restartShare, c.restartShareAt = 1, h.now
+	got := h.requireOneSend(h.step(1, testRequest("a", "wide", h)))
+	for _, a := range h.step(500, Notice{"a", 0, got.Engine, NoticeProgress, 0.05}, Timer{"check"}) {
 		if _, ok := a.(Cancel); ok {
-			t.Fatal("started anew in vain")
+			t.Fatal("restarted though fresh starts of the class save nothing")
 		}
 	}
 }
 
-// A request that fails wherever it goes is given up as failed after three engines, and pauses none of them.
-func TestPoison(t *testing.T) {
-	r := newRig(t, base(), eng("e1"), eng("e2"), eng("e3"), eng("e4"))
+// A request that is itself at fault fails on every engine, and could pause the whole fleet. It must be failed after three
+// engines, and none of them blamed.
+func TestRequestFailingOnThreeEnginesIsFailed(t *testing.T) {
+	h := newHarness(t, testSettings(), testEngine("e1"), testEngine("e2"), testEngine("e3"), testEngine("e4"))
 	for _, id := range []string{"a", "b", "c", "d", "f"} {
-		acts, tried := r.step(1, req(id, "quick", r)), map[string]bool{}
+		actions, tried := h.step(1, testRequest(id, "quick", h)), map[string]bool{}
 		for n := 0; n < 3; n++ {
-			s := r.one(acts)
+			s := h.requireOneSend(actions)
 			if tried[s.Engine] {
 				t.Fatalf("%s: sent to %s again", id, s.Engine)
 			}
 			tried[s.Engine] = true
-			acts = r.step(1, Outcome{Request: id, Attempt: n, Engine: s.Engine, Result: Error})
+			actions = h.step(1, Outcome{Request: id, Attempt: n, Engine: s.Engine, Result: Error})
 		}
-		if _, ok := acts[len(acts)-1].(Fail); !ok || len(sends(acts)) > 0 {
-			t.Fatalf("%s: third error brings %v", id, acts)
+		if _, ok := actions[len(actions)-1].(Fail); !ok || len(sendActions(actions)) > 0 {
+			t.Fatalf("%s: after the third error: %v, want only a failure", id, actions)
 		}
 	}
-	for _, e := range r.f.engines {
-		if e.errors > 0 || e.fails > 0 {
-			t.Errorf("%s is blamed: errors %d, fails %d", e.ID, e.errors, e.fails)
+	for _, e := range h.scheduler.engines {
+		if e.errorsInRow > 0 || e.failures > 0 {
+			t.Errorf("%s is blamed: %d errors, %d fails, want 0", e.ID, e.errorsInRow, e.failures)
 		}
 	}
 }
 
-// An engine that turns one class away and answers another is paused for the first only; one attempt then tries it.
-func TestSickForOneClass(t *testing.T) {
-	r := newRig(t, base(), eng("e1"))
-	r.step(1, req("ok", "quick", r))
-	r.step(1, Outcome{Request: "ok", Engine: "e1", Result: OK, Took: 1, Ended: true})
-	r.one(r.step(1, req("w1", "wide", r)))
-	r.none(r.step(1, Outcome{Request: "w1", Engine: "e1", Result: Full}))
-	r.one(r.step(1, req("q", "quick", r)))
-	r.step(1, Outcome{Request: "q", Engine: "e1", Result: OK, Took: 1, Ended: true})
-	r.none(r.step(1, req("w2", "wide", r)))
-	got := sends(r.step(520, Timer{"check"}))
+// An engine that rejects one class as full and serves another is paused for the first class only. After the pause one attempt
+// of that class tries it, and a good answer ends the pause.
+func TestEngineUnhealthyForOneClassServesOthers(t *testing.T) {
+	h := newHarness(t, testSettings(), testEngine("e1"))
+	h.step(1, testRequest("ok", "quick", h))
+	h.step(1, Outcome{Request: "ok", Engine: "e1", Result: OK, Duration: 1, RequestEnded: true})
+	h.requireOneSend(h.step(1, testRequest("w1", "wide", h)))
+	h.requireNoSend(h.step(1, Outcome{Request: "w1", Engine: "e1", Result: Full}))
+	h.requireOneSend(h.step(1, testRequest("q", "quick", h)))
+	h.step(1, Outcome{Request: "q", Engine: "e1", Result: OK, Duration: 1, RequestEnded: true})
+	h.requireNoSend(h.step(1, testRequest("w2", "wide", h)))
+	got := sendActions(h.step(520, Timer{"check"}))
 	if len(got) != 1 {
-		t.Fatalf("want one trial, got %v", got)
+		t.Fatalf("want one attempt on the paused engine, got %v", got)
 	}
-	n := r.f.requests[got[0].Request].sends - 1
-	acts := r.step(1, Outcome{Request: got[0].Request, Attempt: n, Engine: "e1", Result: OK, Took: 1, Ended: true})
-	if acts = append(acts, r.step(60, Timer{"check"}, req("w3", "wide", r))...); len(sends(acts)) != 2 {
-		t.Fatal("not used again after a good answer")
+	n := h.scheduler.requests[got[0].Request].sendCount - 1
+	actions := h.step(1, Outcome{Request: got[0].Request, Attempt: n, Engine: "e1", Result: OK, Duration: 1, RequestEnded: true})
+	if actions = append(actions, h.step(60, Timer{"check"}, testRequest("w3", "wide", h))...); len(sendActions(actions)) != 2 {
+		t.Fatal("class not sent to the engine again after a good answer")
 	}
 }
 
-// A request that an engine finds at fault itself is failed at once: it is not sent anywhere else, not refused, and no
-// engine is blamed for it.
-func TestRejected(t *testing.T) {
+// A request that an engine rejects as invalid would be rejected everywhere. It must be failed at once, neither sent to
+// another engine nor refused, and no engine blamed.
+func TestRejectedRequestFailsAtOnce(t *testing.T) {
 	for _, class := range []string{"quick", "keyed", "load"} {
-		r := newRig(t, base(), eng("e1"), eng("e2"))
-		s := r.one(r.step(1, req("q", class, r)))
-		acts := r.step(5, Outcome{Request: "q", Engine: s.Engine, Result: Rejected, Took: 5})
-		if f := finals(acts); len(f) != 1 || f[0] != "fail q" || len(sends(acts)) > 0 {
-			t.Errorf("%s: %v", class, acts)
+		h := newHarness(t, testSettings(), testEngine("e1"), testEngine("e2"))
+		s := h.requireOneSend(h.step(1, testRequest("q", class, h)))
+		actions := h.step(5, Outcome{Request: "q", Engine: s.Engine, Result: Rejected, Duration: 5})
+		if f := finalAnswers(actions); len(f) != 1 || f[0] != "fail q" || len(sendActions(actions)) > 0 {
+			t.Errorf("%s: want only a failure, got %v", class, actions)
 		}
-		e := r.f.byID[s.Engine]
-		if e.errors > 0 || e.fails > 0 || e.badUntil > 0 || len(r.f.requests) > 0 {
-			t.Errorf("%s: its engine is blamed: %d errors, %d fails", class, e.errors, e.fails)
+		e := h.scheduler.engineByID[s.Engine]
+		if e.errorsInRow > 0 || e.failures > 0 || e.pausedUntil > 0 || len(h.scheduler.requests) > 0 {
+			t.Errorf("%s: engine is blamed or request kept: %d errors, %d fails", class, e.errorsInRow, e.failures)
 		}
 	}
 }
--- a/choice/heard.go
+++ b/choice/heard.go
@@ -1,137 +1,141 @@
 package choice
 
-// What is heard is kept here for the decisions: news of engines, reports, notes, answers. It decides nothing.
+// This file records what the scheduler learns: engine lists, load reports, progress notices, answers and peer messages.
+// It decides nothing.
 
 import "math"
 
-// list keeps the engine list. A broken subscription is asked for again, ever later, but in time for the drain
-// rule.
-func (f *Front) list(ev EngineList) {
-	if ev.Broken {
-		f.asked = false
-		f.askPause = math.Max(trialFirst, math.Min(2*f.askPause, f.s.AskEvery/4))
-		f.askAt = f.now + f.askPause*(1+f.rng.Float64())/2
+// handleEngineList updates the engine list. A failed subscription is renewed after growing pauses, which stay well below
+// SubscribePeriod so that drains are noticed in time.
+func (f *Scheduler) handleEngineList(ev EngineList) {
+	if ev.Failed {
+		f.subscribed = false
+		f.subscribePause = math.Max(initialPauseMs, math.Min(2*f.subscribePause, f.settings.SubscribePeriod/4))
+		f.subscribeAt = f.now + f.subscribePause*(1+f.rng.Float64())/2
 		return
 	}
-	f.askPause = 0
-	f.listing++
-	if ev.Whole {
+	f.subscribePause = 0
+	f.listVersion++
+	if ev.Complete {
 		for _, e := range f.engines {
 			e.listed = false
 		}
 	}
-	for _, x := range ev.Engines {
-		e := f.engine(x)
-		if x.Started > e.Started { // restarted: what it kept warm and how it failed is of the past
-			e.tables, e.fails, e.badUntil = map[string]float64{}, 0, 0
+	for _, entry := range ev.Engines {
+		e := f.engineFor(entry)
+		if entry.StartedAt > e.StartedAt { // it has restarted: its warm tables and its failures are gone
+			e.tableGroupSentAt, e.failures, e.pausedUntil = map[string]float64{}, 0, 0
 		}
-		e.Engine, e.listed, e.seen = x, x.Status == Healthy, f.now
+		e.Engine, e.listed, e.lastListedAt = entry, entry.Status == Healthy, f.now
 	}
-	f.renew()
-	f.window = append(f.window[:0:0], f.candidates()...)
+	f.rebuildRing()
+	f.preferred = append(f.preferred[:0:0], f.candidates()...)
 }
 
-// heed takes a load report.
-func (f *Front) heed(e *engine, r Report) {
+// applyReport updates an engine by its load report.
+func (f *Scheduler) applyReport(e *engine, r Report) {
 	switch {
 	case r.HasBusy && r.Busy >= 0 || r.HasDiskShare || r.HasMemShare:
-		// Danger: an engine out of memory gets nothing done and its cores look idle. What is short first
-		// tells.
-		e.report = math.Max(r.Busy, shareBusy*math.Max(r.DiskShare, r.MemShare))
-		e.report += math.Max(r.Queue, 0) / e.cores
+		// Danger: an engine that is out of memory makes no progress and its cores look idle. So the load is that of its
+		// scarcest resource.
+		e.reportedLoad = math.Max(r.Busy, diskMemLoadWeight*math.Max(r.DiskShare, r.MemShare))
+		e.reportedLoad += math.Max(r.Queue, 0) / e.cores
 	case r.HasInFlight && r.InFlight >= 0:
-		e.report = r.InFlight * f.meanThreads() / e.cores / threadsBusy
+		e.reportedLoad = r.InFlight * f.meanThreads() / e.cores / threadsPerBusyCore
 	default:
 		return
 	}
-	e.memory = r.MemShare
-	if f.s.Pages { // grants lie over the need there; what is in use counts
-		e.memory /= grantOver
+	e.grantedMemShare = r.MemShare
+	if f.settings.MemoryPaging { // grants exceed the need there, and only memory in use slows queries down
+		e.grantedMemShare /= grantToNeedRatio
 	}
-	e.reportAt = f.now
-	f.meanAt = f.now
+	e.reportedAt = f.now
+	f.meanReportedAt = f.now
 }
 
-// learn takes an answer into the class's mean work and the engine's factor (2), bounded against nonsense.
-func (f *Front) learn(a *attempt, o Outcome) {
-	c, base := a.q.c, a.base
-	work := o.Took / a.scale * c.Threads
+// learnFromAnswer updates the class's mean work and the engine's learned factor by a good answer. Each answer counts
+// within bounds, so that one wrong value does little harm.
+func (f *Scheduler) learnFromAnswer(a *attempt, o Outcome) {
+	c, unloaded := a.request.class, a.unloadedTime
+	work := o.Duration / a.loadSlowdown * c.Threads
 	if o.Work > 0 {
-		work, base = o.Work, o.Work/c.Threads
-		f.slower.add(f.now, math.Log(bound(o.Took/math.Max(base, slowLeast), clip)), partSpan)
-		f.answers.add(f.now, 1, partSpan)
-		if h := a.q.Work; h > 0.01 && h < 1e9 && !a.q.Learned {
-			c.hintRatio += (bound(o.Work/h, clip) - c.hintRatio) * learnWork
+		work, unloaded = o.Work, o.Work/c.Threads
+		f.slowdownLogs.add(f.now, math.Log(clampRatio(o.Duration/math.Max(unloaded, minUnloadedTimeMs), maxOutcomeRatio)), threadAverageMs)
+		f.slowdownAnswers.add(f.now, 1, threadAverageMs)
+		if estimate := a.request.Work; estimate > 0.01 && estimate < 1e9 && !a.request.EstimateLearned {
+			c.estimateRatio += (clampRatio(o.Work/estimate, maxOutcomeRatio) - c.estimateRatio) * minWorkLearnRate
 		}
 	}
-	step := tailShare - 1
-	if o.Took > c.tail*a.expect {
-		step = tailShare
+	logStep := tailPercentile - 1
+	if o.Duration > c.tailRatio*a.expectedTime {
+		logStep = tailPercentile
 	}
-	c.tail *= math.Exp(tailLearn * step)
-	if a.light {
-		c.nLight++
-		c.light += (math.Min(o.Took, math.Max(c.light, 1)*clip) - c.light) * math.Max(learnWork, 1/c.nLight)
+	c.tailRatio *= math.Exp(tailLearnStep * logStep)
+	if a.underLightLoad {
+		c.lightAnswers++
+		c.lightAnswerTime += (math.Min(o.Duration, math.Max(c.lightAnswerTime, 1)*maxOutcomeRatio) - c.lightAnswerTime) *
+			math.Max(minWorkLearnRate, 1/c.lightAnswers)
 	}
-	if c.nLight > 0 {
-		a.e.took = a.e.took*crowdedFade + math.Min(o.Took, c.light*clip)
-		a.e.tookLight = a.e.tookLight*crowdedFade + c.light
+	if c.lightAnswers > 0 {
+		a.engine.answerTimes = a.engine.answerTimes*answerTimeDecay + math.Min(o.Duration, c.lightAnswerTime*maxOutcomeRatio)
+		a.engine.lightAnswerTimes = a.engine.lightAnswerTimes*answerTimeDecay + c.lightAnswerTime
 	}
-	c.n++
-	c.work += (math.Min(work, c.work*clip) - c.work) * math.Max(learnWork, 1/(c.n+1))
-	x := map[bool]*factor{false: &a.e.cold, true: &a.e.warm}[a.warm]
-	r := bound(o.Took/math.Max(base*a.scale, 0.01), clip)
-	if x.n++; x.n == 1 {
-		x.v = (r + f.factor(a.e, a.warm)) / 2
+	c.answers++
+	c.meanWork += (math.Min(work, c.meanWork*maxOutcomeRatio) - c.meanWork) * math.Max(minWorkLearnRate, 1/(c.answers+1))
+	learned := map[bool]*learnedFactor{false: &a.engine.coldFactor, true: &a.engine.warmFactor}[a.warm]
+	ratio := clampRatio(o.Duration/math.Max(unloaded*a.loadSlowdown, 0.01), maxOutcomeRatio)
+	if learned.answers++; learned.answers == 1 {
+		learned.ratio = (ratio + f.slownessFactor(a.engine, a.warm)) / 2
 	} else {
-		x.v += (r - x.v) * learnFactor
+		learned.ratio += (ratio - learned.ratio) * slownessLearnRate
 	}
-	x.at = f.now
+	learned.updatedAt = f.now
 }
 
-// note takes word on an attempt: it shows that the engine lives and where the attempt is heading.
-func (f *Front) note(n Note) {
+// handleNotice handles a progress notice: it shows that the engine is alive, and projects the time of the attempt.
+func (f *Scheduler) handleNotice(n Notice) {
 	q := f.requests[n.Request]
 	if q == nil {
 		return
 	}
-	for _, a := range q.out {
-		if a.n == n.Attempt {
-			if n.Kind == NoteSpill && !a.spilt && q.Mem > 0 { // by the megabytes that it misses
-				q.c.grant *= math.Pow(bound(1+n.Level/q.Mem/q.c.grant, clip), grantUp)
+	for _, a := range q.openAttempts {
+		if a.number == n.Attempt {
+			if n.Kind == NoticeSpill && !a.spilled && q.Mem > 0 { // the more memory it lacks, the larger the step
+				q.class.grantRatio *= math.Pow(clampRatio(1+n.Level/q.Mem/q.class.grantRatio, maxOutcomeRatio), grantGrowthPower)
 			}
-			a.e.heard, a.noted, a.spilt = f.now, true, a.spilt || n.Kind == NoteSpill
-			if n.Kind == NoteWait && n.Level == 2 {
-				f.blocked(a)
+			a.engine.lastHeardAt, a.hasNotice, a.spilled = f.now, true, a.spilled || n.Kind == NoticeSpill
+			if n.Kind == NoticeWait && n.Level == 2 {
+				f.handleLockWait(a)
 			}
-			if n.Kind == NoteProgress { // only these come at a steady pace
-				a.note = f.now
+			if n.Kind == NoticeProgress { // only these come at regular intervals
+				a.lastProgressAt = f.now
 				if n.Level > 0.001 {
-					a.total = (f.now - a.sent) / math.Min(n.Level, 1)
+					a.projectedTime = (f.now - a.sentAt) / math.Min(n.Level, 1)
 				}
 			}
 		}
 	}
 }
 
-// told takes a peer's news where they are later than our own.
-func (f *Front) told(t Told) {
-	f.unpackNews(t.Data, func(kind byte, e *engine, a, b, c float64) {
-		at := f.now - c*newsTime
+// handlePeerMessage applies what a peer reports of engines, unless a later report is known.
+func (f *Scheduler) handlePeerMessage(message PeerMessage) {
+	f.decodePeerItems(message.Data, func(kind byte, e *engine, a, b, c float64) {
+		reportedAt := f.now - c*peerAgeStepMs
 		switch {
-		case kind == newsSend:
-			e.abroad = append(e.abroad, abroad{f.now, a, math.Max(b*newsLong, 1)})
-		case at > e.reportAt && at > math.Max(e.Started, e.backAt):
-			e.report, e.memory, e.reportAt = a*newsStep, b*newsStep, at
-			f.meanAt = math.Max(f.meanAt, at)
+		case kind == peerItemSend:
+			e.recentSends = append(e.recentSends, recentSend{f.now, a, math.Max(b*peerRunStepMs, 1)})
+		case reportedAt > e.reportedAt && reportedAt > math.Max(e.StartedAt, e.assumedStartAt):
+			e.reportedLoad, e.grantedMemShare, e.reportedAt = a*peerLoadStep, b*peerLoadStep, reportedAt
+			f.meanReportedAt = math.Max(f.meanReportedAt, reportedAt)
 		}
 	})
 }
 
-// class finds a class; one never heard of gets careful settings: one try that is never repeated.
-func (f *Front) class(name string) *class {
+// classFor finds a class by its name. An unknown one is added with safe settings: its requests are never repeated once
+// they may have run.
+func (f *Scheduler) classFor(name string) *class {
 	if c := f.classes[name]; c != nil {
 		return c
 	}
-	return f.addClass(Class{Name: name, Worth: 1, Aim: unknownAim, Effect: Unsafe})
+	return f.addClass(Class{Name: name, Value: 1, LatencyTarget: unknownClassTargetMs, Idempotency: AtMostOnce})
 }
--- a/choice/hold.go
+++ b/choice/hold.go
@@ -1,6 +1,6 @@
 package choice
 
-// Holding: which waiting request goes where, now or later (1, 3 to 5).
+// Holding: which waiting request goes to which engine, now or later.
 
 import (
 	"cmp"
@@ -9,55 +9,61 @@
 	"sort"
 )
 
-// queue puts a request among those waiting: worth per predicted work, then slack, decide who goes next.
-func (f *Front) queue(q *request) {
-	if q.Deadline-f.now < f.lastCall { // danger: a client's next try may come with hardly any time left
-		f.giveUp(q, ReasonDeadline)
+// enqueue adds a request to the waiting ones, which are ordered by value per predicted work, then by the end
+// of their latency target.
+func (f *Scheduler) enqueue(q *request) {
+	if q.Deadline-f.now < f.finalAnswerMargin { // a client's retry may arrive with hardly any time left
+		f.refuseOrFail(q, ReasonDeadline)
 		return
 	}
-	q.density, q.late = q.worth/f.work(q), false
-	q.aimAt = math.Min(q.arrived+q.c.Aim+q.c.AimStretch*f.work(q)/q.c.Threads, q.Deadline)
-	q.held = -1
+	q.valueDensity, q.missesTarget = q.value/f.predictWork(q), false
+	q.targetAt = math.Min(q.arrivedAt+q.class.LatencyTarget+
+		q.class.TargetStretch*f.predictWork(q)/q.class.Threads, q.Deadline)
+	q.heldSince = -1
 	i := sort.Search(len(f.waiting), func(i int) bool {
-		w := f.waiting[i]
-		if w.density != q.density {
-			return w.density < q.density
+		other := f.waiting[i]
+		if other.valueDensity != q.valueDensity {
+			return other.valueDensity < q.valueDensity
 		}
-		return w.aimAt > q.aimAt
+		return other.targetAt > q.targetAt
 	})
 	f.waiting = slices.Insert(f.waiting, i, q)
 	q.waiting = true
 }
 
-// demote puts what can no longer meet its aim behind what can, by what it still earns. Danger: after an
-// outage, requests that are late already would go ahead of fresh ones, and these would be late in their turn.
-func (f *Front) demote() {
-	moved := false
+// demoteLate moves requests that can no longer meet their latency target behind those that can, by the value
+// that a late answer still has. Without it, requests that are late after an outage would go ahead of fresh
+// ones and make these late in turn.
+func (f *Scheduler) demoteLate() {
+	changed := false
 	for _, q := range f.waiting {
-		if !q.late && f.now+f.work(q)/q.c.Threads > q.aimAt {
-			q.late, q.density, moved = true, q.density*q.c.LateWorth, true
+		if !q.missesTarget && f.now+f.predictWork(q)/q.class.Threads > q.targetAt {
+			q.missesTarget, q.valueDensity, changed = true, q.valueDensity*q.class.LateValueShare, true
 		}
 	}
-	if moved {
-		slices.SortStableFunc(f.waiting, func(a, b *request) int { return cmp.Compare(b.density, a.density) })
+	if changed {
+		slices.SortStableFunc(f.waiting, func(a, b *request) int {
+			return cmp.Compare(b.valueDensity, a.valueDensity)
+		})
 	}
 }
 
-// dispatch decides on waiting requests, those first that are worth most per work.
-func (f *Front) dispatch(all bool) {
-	n := len(f.waiting)
-	if all {
-		f.demote()
+// dispatch decides on the waiting requests, those with the highest value per work first. Between full checks
+// it looks at the first maxHeldChecked only.
+func (f *Scheduler) dispatch(full bool) {
+	limit := len(f.waiting)
+	if full {
+		f.demoteLate()
 	}
-	if !all && n > lookMost {
-		n = lookMost
+	if !full && limit > maxHeldChecked {
+		limit = maxHeldChecked
 	}
 	kept := f.waiting[:0]
 	for i, q := range f.waiting {
-		if i < n && !q.ended {
-			f.decide(q)
+		if i < limit && !q.ended {
+			f.decideRequest(q)
 		}
-		if !q.ended && len(q.out) == 0 {
+		if !q.ended && len(q.openAttempts) == 0 {
 			kept = append(kept, q)
 		} else {
 			q.waiting = false
@@ -67,170 +73,186 @@
 	f.waiting = kept
 }
 
-// decide is the design's path for one waiting request.
-func (f *Front) decide(q *request) {
-	if q.Deadline-f.now < f.lastCall {
-		f.giveUp(q, ReasonDeadline)
+// decideRequest sends, holds or refuses one waiting request by the rules of the design.
+func (f *Scheduler) decideRequest(q *request) {
+	if q.Deadline-f.now < f.finalAnswerMargin {
+		f.refuseOrFail(q, ReasonDeadline)
 		return
 	}
-	if q.sends >= max(f.s.MaxAttempts, 1) {
-		f.giveUp(q, ReasonAttempts)
+	if q.sendCount >= max(f.settings.MaxAttempts, 1) {
+		f.refuseOrFail(q, ReasonAttempts)
 		return
 	}
-	if f.windowOver(q) { // its client would wait in vain, and so would the next requests of its key
-		f.giveUp(q, ReasonMayHaveRun)
+	if f.dedupWindowExpired(q) { // its client and the next requests of its order key would wait in vain
+		f.refuseOrFail(q, ReasonMayHaveRun)
 		return
 	}
-	if f.many && q.sends == 0 && q.probedAt < q.arrived && q.density < f.meanDensity() && f.s.ProbeReports {
-		q.probedAt = f.now - probeWait
+	if f.manyPeers && q.sendCount == 0 && q.probedAt < q.arrivedAt &&
+		q.valueDensity < f.meanValueDensity() && f.settings.ReportsOnlyFromProbes {
+		q.probedAt = f.now - probeWaitMs
 		if f.probe(f.candidates()) {
 			q.probedAt = f.now
-			f.wake(f.now + probeWait)
+			f.requestWake(f.now + probeWaitMs)
 		}
 	}
-	if f.now < q.probedAt+probeWait {
+	if f.now < q.probedAt+probeWaitMs {
 		return
 	}
-	type best struct {
-		e *engine
-		t float64
+	type option struct {
+		engine  *engine
+		latency float64
 	}
-	none := best{t: math.Inf(1)}
-	local, fall, localRoom, fallRoom, open := none, none, none, none, none
-	better := func(b *best, e *engine, t float64, may bool) {
-		if may && t < b.t {
-			*b = best{e, t}
+	none := option{latency: math.Inf(1)}
+	bestWarm, bestFallback, warmWithRoom, fallbackWithRoom, anyWithRoom := none, none, none, none, none
+	keepFaster := func(best *option, e *engine, latency float64, eligible bool) {
+		if eligible && latency < best.latency {
+			*best = option{e, latency}
 		}
 	}
 	for _, e := range f.candidates() {
-		if !f.allowed(e, q) {
+		if !f.isAllowed(e, q) {
 			continue
 		}
-		warm := f.warmOn(e, q)
-		// Danger: fronts that all take the first among equals, or all believe the same stale report, crowd
-		// it. So near-equals are drawn by lot.
-		t := f.predict(e, q, warm) * (1 + near*f.lot*f.rng.Float64())
-		if slices.Contains(q.erred, e) {
-			t *= erredAway
+		warm := f.isWarm(e, q)
+		// Coordinators that all choose the first of equal engines, or all believe the same stale report,
+		// crowd that engine. So nearly equal predictions are ordered at random.
+		latency := f.predictLatency(e, q, warm) * (1 + tieBreakSpread*f.tieBreakShare*f.rng.Float64())
+		if slices.Contains(q.failedOn, e) {
+			latency *= failedEnginePenalty
 		}
-		room := f.room(e, q)
-		better(&local, e, t, warm)
-		better(&localRoom, e, t, warm && room)
-		better(&fall, e, t, !warm)
-		better(&fallRoom, e, t, !warm && room)
-		better(&open, e, t, room)
-	}
-	if fall.e == nil { // (1) if all are local, all are fallbacks
-		fall, fallRoom = local, localRoom
-	}
-	least := math.Min(local.t, fall.t)
-	if f.scarce() && !math.IsInf(least, 1) && !f.earns(q, least) {
-		f.giveUp(q, ReasonPlaces)
+		hasRoom := f.hasRoom(e, q)
+		keepFaster(&bestWarm, e, latency, warm)
+		keepFaster(&warmWithRoom, e, latency, warm && hasRoom)
+		keepFaster(&bestFallback, e, latency, !warm)
+		keepFaster(&fallbackWithRoom, e, latency, !warm && hasRoom)
+		keepFaster(&anyWithRoom, e, latency, hasRoom)
+	}
+	if bestFallback.engine == nil { // if all engines are warm, all are fallbacks
+		bestFallback, fallbackWithRoom = bestWarm, warmWithRoom
+	}
+	minLatency := math.Min(bestWarm.latency, bestFallback.latency)
+	if f.slotsScarce() && !math.IsInf(minLatency, 1) && !f.justifiesSlot(q, minLatency) {
+		f.refuseOrFail(q, ReasonSlots)
 		return
 	}
 	switch {
-	case local.e == nil || local.t >= alpha*fall.t: // (3)
-		if fallRoom.e != nil && f.send(q, fallRoom.e, fallRoom.t) {
+	case bestWarm.engine == nil || bestWarm.latency >= maxWarmToFallbackRatio*bestFallback.latency:
+		// No warm engine is faster by enough to prefer it.
+		if fallbackWithRoom.engine != nil && f.send(q, fallbackWithRoom.engine, fallbackWithRoom.latency) {
 			return
 		}
-	case localRoom.e != nil && localRoom.t < alpha*fall.t: // (4)
-		if f.send(q, localRoom.e, localRoom.t) {
+	case warmWithRoom.engine != nil && warmWithRoom.latency < maxWarmToFallbackRatio*bestFallback.latency:
+		if f.send(q, warmWithRoom.engine, warmWithRoom.latency) {
 			return
 		}
-	default:
-		if q.held < 0 {
-			q.held = f.now
+	default: // hold while that is likely to save time and the deadline allows it
+		if q.heldSince < 0 {
+			q.heldSince = f.now
 		}
-		slack := (q.Deadline-f.now)*(1-beta) - fall.t
-		gain := fall.t - local.t - (f.now - q.held)
+		slack := (q.Deadline-f.now)*(1-deadlineMarginShare) - bestFallback.latency
+		gain := bestFallback.latency - bestWarm.latency - (f.now - q.heldSince)
 		if slack > 0 && gain > 0 {
-			f.wake(f.now + math.Min(slack, gain))
+			f.requestWake(f.now + math.Min(slack, gain))
 			return
 		}
-		if fallRoom.e != nil && f.send(q, fallRoom.e, fallRoom.t) { // (5)
+		if fallbackWithRoom.engine != nil && f.send(q, fallbackWithRoom.engine, fallbackWithRoom.latency) {
 			return
 		}
 	}
-	if open.e != nil && f.send(q, open.e, open.t) { // departure: the best one has no room, another has
+	// Departure from the design: the best engine has no room, but another one has.
+	if anyWithRoom.engine != nil && f.send(q, anyWithRoom.engine, anyWithRoom.latency) {
 		return
 	}
-	// Overload: what can no longer meet its aim and finds no room is refused early, not run in vain.
-	if math.IsInf(least, 1) { // no engine may take it now: wait for one as long as the aim allows
-		least = f.work(q) / q.c.Threads
+	// Overload: a request that can no longer meet its latency target and finds no room is refused early
+	// instead of run in vain.
+	if math.IsInf(minLatency, 1) { // no engine may take it now: wait for one while the target allows it
+		minLatency = f.predictWork(q) / q.class.Threads
 	}
-	late := q.c.LateWorth > 0 && (open.e != nil || !f.scarce()) // late is better than never
-	if !late && f.now+least > q.aimAt || late && f.now+least > q.Deadline {
-		f.giveUp(q, ReasonCapacity)
+	// A late answer is better than none.
+	lateAllowed := q.class.LateValueShare > 0 && (anyWithRoom.engine != nil || !f.slotsScarce())
+	if !lateAllowed && f.now+minLatency > q.targetAt || lateAllowed && f.now+minLatency > q.Deadline {
+		f.refuseOrFail(q, ReasonCapacity)
 	}
 }
 
-// rank is a query's priority on its engine: dense worth first, what is past its aim or share last.
-func (f *Front) rank(q *request) int {
+// priority is a query's priority on its engine, from 0 to 3: classes of high value per work come first,
+// requests past their latency target or far above their tenant's quota last.
+func (f *Scheduler) priority(q *request) int {
 	switch {
-	case q.over || f.now > q.aimAt:
+	case q.overQuota || f.now > q.targetAt:
 		return 0
-	case q.c.Worth/f.work(q) > denser*f.meanDensity(): // whose it is decides the turn, not the priority
+	case q.class.Value/f.predictWork(q) > highDensityRatio*f.meanValueDensity():
+		// The class's value counts: the tenant's quota decides the order of dispatch, not this priority.
 		return 3
-	case q.c.Load || q.key != nil && len(q.key.line) > 1: // others stand still behind it
+	case q.class.IsLoad || q.orderKey != nil && len(q.orderKey.queue) > 1: // other requests wait behind it
 		return 2
 	}
 	return 1
 }
 
-// warmOn tells whether a query's table group counts as warm there: this front sent it there lately (1).
-// Departure: one front among many does not keep an engine's tables warm. There a group's homes count as warm,
-// on which fronts that share engines agree by rendezvous hash; whether they really are, the factors learn.
-func (f *Front) warmOn(e *engine, q *request) bool {
-	at, ok := e.tables[q.Tables]
-	return f.many && slices.Contains(f.homes(q), e) || !f.many && ok && f.now-at <= warmFor
+// isWarm tells whether a query's table group counts as warm on an engine: whether this coordinator sent a
+// query for it there within warmPeriodMs. Departure from the design: one of many coordinators alone does not
+// keep an engine's tables warm. Then a table group's home engines count as warm. Coordinators that share
+// engines agree on them by rendezvous hashing, and the slowness factors learn whether they really are warm.
+func (f *Scheduler) isWarm(e *engine, q *request) bool {
+	sentAt, sent := e.tableGroupSentAt[q.TableGroup]
+	return f.manyPeers && slices.Contains(f.homeEngines(q), e) ||
+		!f.manyPeers && sent && f.now-sentAt <= warmPeriodMs
 }
 
-// homes are the engines that come first for a table group, more of them the larger its part of the traffic.
-func (f *Front) homes(q *request) []*engine {
-	g := f.group(q.Tables)
-	if g.list != f.listing {
-		g.list, g.order = f.listing, byHash(q.Tables, f.window)
-	}
-	// Danger: the first requests say nothing of the parts yet.
-	share := g.n * math.Exp((g.at-f.groupSum.at)/warmFor) / (f.groupSum.v + homePrior)
-	n := 1 + int(math.Ceil(homeSlack*share*float64(len(g.order))))
-	return g.order[:min(n, len(g.order))]
+// homeEngines are the engines that come first for a query's table group by rendezvous hashing; the larger the
+// group's share of the traffic, the more they are.
+func (f *Scheduler) homeEngines(q *request) []*engine {
+	g := f.tableGroupFor(q.TableGroup)
+	if g.listVersion != f.listVersion {
+		g.listVersion, g.engines = f.listVersion, rankByHash(q.TableGroup, f.preferred)
+	}
+	// The prior keeps the first requests, which say nothing about the shares yet, from counting in full.
+	share := g.requests * math.Exp((g.updatedAt-f.tableGroupRequests.updatedAt)/warmPeriodMs) /
+		(f.tableGroupRequests.sum + homePriorRequests)
+	count := 1 + int(math.Ceil(homeEnginesRatio*share*float64(len(g.engines))))
+	return g.engines[:min(count, len(g.engines))]
 }
 
-// candidates are the engines looked at for a query. Departure: with many fronts each works with a window on
-// the ring of engines at its number's place: each engine has its even share of fronts, and these hear of it
-// often.
-func (f *Front) candidates() []*engine {
-	if !f.many {
+// candidates are the engines considered for a query. Departure from the design: each of many coordinators
+// considers only its preferred engines, which follow each other on the hash ring from an index given by the
+// coordinator's number. So every engine gets an even share of the coordinators, and each of these hears of it
+// often. Engines that failed twice are skipped.
+func (f *Scheduler) candidates() []*engine {
+	if !f.manyPeers {
 		return f.engines
 	}
-	f.cands = f.cands[:0]
-	for i := 0; i < len(f.ring) && len(f.cands) < f.reach(); i++ {
-		if e := f.ring[(f.first(f.s.Front)+i)%len(f.ring)]; e.fails < 2 {
-			f.cands = append(f.cands, e)
+	f.candidateBuf = f.candidateBuf[:0]
+	for i := 0; i < len(f.ring) && len(f.candidateBuf) < f.preferredCount(); i++ {
+		if e := f.ring[(f.firstPreferredIndex(f.settings.CoordinatorIndex)+i)%len(f.ring)]; e.failures < 2 {
+			f.candidateBuf = append(f.candidateBuf, e)
 		}
 	}
-	return f.cands
+	return f.candidateBuf
 }
 
-// reach is how many engines a front works with, with many fronts: so many that each engine is in a window.
-func (f *Front) reach() int {
-	return max(windowSize, int(math.Ceil(windowLeast*float64(len(f.ring))/f.fronts)))
+// preferredCount is how many engines each of many coordinators prefers: enough that every engine is preferred
+// by some.
+func (f *Scheduler) preferredCount() int {
+	return max(minPreferredEngines,
+		int(math.Ceil(minCoordinatorsPerEngine*float64(len(f.ring))/f.coordinators)))
 }
 
-// first is the place in the ring at which a front's window begins.
-func (f *Front) first(front int) int {
-	return int(float64(front) * float64(len(f.ring)) / f.fronts)
+// firstPreferredIndex is the index on the hash ring of a coordinator's first preferred engine.
+func (f *Scheduler) firstPreferredIndex(coordinator int) int {
+	return int(float64(coordinator) * float64(len(f.ring)) / f.coordinators)
 }
 
-// seat is this front's place among those whose windows hold an engine, and how many these are. Where its
-// window has only moved on there, past engines that fail, its place is past the last.
-func (f *Front) seat(e *engine) (place, fronts float64) {
-	n, reach := float64(len(f.ring)), float64(f.reach())
-	if !f.many || n <= reach {
-		return float64(f.s.Front), f.fronts
-	}
-	first := (float64(e.place) - reach + 1) * f.fronts / n
-	place = math.Mod(math.Floor(float64(f.s.Front)-first+f.fronts), f.fronts)
-	return place, math.Floor(reach*f.fronts/n) + 1
+// coordinatorPosition is this coordinator's position among those that prefer an engine, and how many these
+// are. If this coordinator reaches the engine only because it skips engines that fail, its position is past
+// the last.
+func (f *Scheduler) coordinatorPosition(e *engine) (position, coordinators float64) {
+	engines, preferred := float64(len(f.ring)), float64(f.preferredCount())
+	if !f.manyPeers || engines <= preferred {
+		return float64(f.settings.CoordinatorIndex), f.coordinators
+	}
+	firstCoordinator := (float64(e.ringIndex) - preferred + 1) * f.coordinators / engines
+	position = math.Mod(math.Floor(float64(f.settings.CoordinatorIndex)-firstCoordinator+f.coordinators),
+		f.coordinators)
+	return position, math.Floor(preferred*f.coordinators/engines) + 1
 }
--- a/choice/hold_test.go
+++ b/choice/hold_test.go
@@ -6,249 +6,262 @@
 	"testing"
 )
 
-// (1), (4): a query is held for its warm engine while that has no room, and sent there when it has.
+// A query is held for its warm engine while that has no room, and sent there as soon as it has.
 func TestHoldsForWarmEngine(t *testing.T) {
-	s := base()
+	s := testSettings()
 	s.Kinds[0].Cores = 1 // room for two threads
-	r := newRig(t, s, eng("e1"), eng("e2"))
-	r.warmUp("e1", "7", 0.2, 3)
-	r.f.byID["e2"].tables = map[string]float64{}
-	a, b := r.one(r.step(1, req("a", "quick", r))), r.one(r.step(1, req("b", "quick", r)))
+	h := newHarness(t, s, testEngine("e1"), testEngine("e2"))
+	h.setWarmEngine("e1", "7", 0.2, 3)
+	h.scheduler.engineByID["e2"].tableGroupSentAt = map[string]float64{}
+	a, b := h.requireOneSend(h.step(1, testRequest("a", "quick", h))), h.requireOneSend(h.step(1, testRequest("b", "quick", h)))
 	if a.Engine != "e1" || b.Engine != "e1" {
-		t.Fatalf("warm engine not chosen: %v %v", a, b)
+		t.Fatalf("not sent to the warm engine e1: %v %v", a, b)
 	}
-	r.none(r.step(1, req("c", "quick", r)))
-	got := r.one(r.step(20, Outcome{Request: "a", Engine: "e1", Result: OK, Took: 20, Ended: true}))
+	h.requireNoSend(h.step(1, testRequest("c", "quick", h)))
+	got := h.requireOneSend(h.step(20, Outcome{Request: "a", Engine: "e1", Result: OK, Duration: 20, RequestEnded: true}))
 	if got.Request != "c" || got.Engine != "e1" {
-		t.Fatalf("held query not sent on room: %v", got)
+		t.Fatalf("held query not sent to e1 once it had room: %v", got)
 	}
 }
 
-// (1): after 30 s without sends an engine is no longer warm.
-func TestWarmWindowEnds(t *testing.T) {
-	r := newRig(t, base(), eng("e1"))
-	r.warmUp("e1", "7", 0.2, 3)
-	q := &request{Request: Request{Tables: "7"}}
+// An engine counts as warm for a table group for 30 s after the last query sent there, and no longer.
+func TestEngineIsNoLongerWarmAfterWindow(t *testing.T) {
+	h := newHarness(t, testSettings(), testEngine("e1"))
+	h.setWarmEngine("e1", "7", 0.2, 3)
+	q := &request{Request: Request{TableGroup: "7"}}
 	for _, c := range []struct {
 		at   float64
 		want bool
 	}{{0, true}, {29999, true}, {30001, false}} {
-		r.f.now = r.now + c.at
-		if got := r.f.warmOn(r.f.engines[0], q); got != c.want {
-			t.Errorf("after %v ms: warm %v", c.at, got)
+		h.scheduler.now = h.now + c.at
+		if got := h.scheduler.isWarm(h.scheduler.engines[0], q); got != c.want {
+			t.Errorf("%v ms after the last send: warm is %v", c.at, got)
 		}
 	}
 }
 
-// (3): warm that is not clearly faster does not delay: the best fallback is taken at once.
-func TestAlpha(t *testing.T) {
+// A warm engine is preferred only if it promises less than 0.8 of the best fallback's time; else the fallback gets the
+// query at once.
+func TestFallbackTakenUnlessWarmIsClearlyFaster(t *testing.T) {
 	for _, c := range []struct {
 		warm float64
 		want string
 	}{{0.5, "e1"}, {0.85, "e2"}} {
-		r := newRig(t, base(), eng("e1"), eng("e2"))
-		r.warmUp("e1", "7", c.warm, 1)
-		if got := r.one(r.step(1, req("a", "quick", r))); got.Engine != c.want {
+		h := newHarness(t, testSettings(), testEngine("e1"), testEngine("e2"))
+		h.setWarmEngine("e1", "7", c.warm, 1)
+		if got := h.requireOneSend(h.step(1, testRequest("a", "quick", h))); got.Engine != c.want {
 			t.Errorf("warm factor %v: sent to %s, want %s", c.warm, got.Engine, c.want)
 		}
 	}
 }
 
-// (5): with slack or gain gone a held query goes to the best fallback.
-func TestHoldEnds(t *testing.T) {
-	s := base()
+// A held query goes to the best fallback once waiting longer would cost its deadline or more time than the warm engine saves.
+func TestHeldQueryIsReleasedToFallback(t *testing.T) {
+	s := testSettings()
 	s.Kinds[0].Cores = 1
-	r := newRig(t, s, eng("e1"), eng("e2"))
-	r.warmUp("e1", "7", 0.2, 3)
-	r.step(1, req("a", "quick", r))
-	r.step(1, req("b", "quick", r))
-	r.none(r.step(1, req("c", "quick", r)))
+	h := newHarness(t, s, testEngine("e1"), testEngine("e2"))
+	h.setWarmEngine("e1", "7", 0.2, 3)
+	h.step(1, testRequest("a", "quick", h))
+	h.step(1, testRequest("b", "quick", h))
+	h.requireNoSend(h.step(1, testRequest("c", "quick", h)))
 	for i := 0; i < 30; i++ {
-		// Word from the engine: it lives, it is only busy.
-		if got := sends(r.step(50, Timer{"check"}, Note{"a", 0, "e1", NoteProgress, 0.1})); len(got) > 0 {
+		// A progress notice shows that the engine is alive, only busy.
+		if got := sendActions(h.step(50, Timer{"check"}, Notice{"a", 0, "e1", NoticeProgress, 0.1})); len(got) > 0 {
 			if got[0].Request != "c" || got[0].Engine != "e2" {
-				t.Fatalf("released to %v", got[0])
+				t.Fatalf("released as %v, want c to e2", got[0])
 			}
 			return
 		}
 	}
-	t.Fatal("held for ever")
+	t.Fatal("still held after 1,500 ms")
 }
 
-// (2): outcomes, own load and reports move the prediction; nonsense estimates do not.
-func TestPrediction(t *testing.T) {
-	r := newRig(t, base(), eng("e1"), eng("e2"))
-	e, q := r.f.engines[0], &request{Request: Request{Tables: "7"}, c: r.f.classes["quick"]}
-	r.f.now = r.now
-	idle := r.f.predict(e, q, false)
-	r.f.heed(e, Report{HasBusy: true, Busy: 0.9})
-	busy := r.f.predict(e, q, false)
-	e.threads = 8
-	own := r.f.predict(e, q, false)
+// A reported load and the coordinator's own attempts on an engine raise the predicted latency. Estimates that cannot be
+// true (zero, negative, not finite, huge) leave it at the class's mean.
+func TestPredictionFollowsLoadAndIgnoresBadEstimates(t *testing.T) {
+	h := newHarness(t, testSettings(), testEngine("e1"), testEngine("e2"))
+	e, q := h.scheduler.engines[0], &request{Request: Request{TableGroup: "7"}, class: h.scheduler.classes["quick"]}
+	h.scheduler.now = h.now
+	idle := h.scheduler.predictLatency(e, q, false)
+	h.scheduler.applyReport(e, Report{HasBusy: true, Busy: 0.9})
+	busy := h.scheduler.predictLatency(e, q, false)
+	e.threadsOut = 8
+	own := h.scheduler.predictLatency(e, q, false)
 	if !(idle < busy && busy < own) {
-		t.Errorf("idle %v, reported busy %v, own load %v", idle, busy, own)
+		t.Errorf("predictions do not rise: idle %v, reported busy %v, with own load %v", idle, busy, own)
 	}
 	for _, w := range []float64{0, -5, math.NaN(), math.Inf(1), 1e300} {
 		q.Work = w
-		if p := r.f.predict(e, q, false); p != own {
-			t.Errorf("estimate %v: predicted %v, want the class mean's %v", w, p, own)
+		if p := h.scheduler.predictLatency(e, q, false); p != own {
+			t.Errorf("estimate %v: predicted %v, want %v as for the class's mean", w, p, own)
 		}
 	}
 }
 
-// Danger: a client's next try with hardly any time left is answered at once, however many are held.
-func TestShortLivedTryAnswered(t *testing.T) {
-	r := newRig(t, base())
-	for i := 0; i < 3*lookMost; i++ {
-		r.step(0.01, req(fmt.Sprint("r", i), "quick", r))
-	}
-	q := req("last", "quick", r)
-	q.Deadline = r.now + 50
-	if got := finals(r.step(0, q)); len(got) != 1 || got[0] != "refuse last" {
+// With many requests held, each step looks at only some of them. A request with hardly any time left must still be
+// answered in the step in which it arrives, or its client gets no answer in time.
+func TestRequestNearDeadlineIsAnsweredAtOnce(t *testing.T) {
+	h := newHarness(t, testSettings())
+	for i := 0; i < 3*maxHeldChecked; i++ {
+		h.step(0.01, testRequest(fmt.Sprint("r", i), "quick", h))
+	}
+	q := testRequest("last", "quick", h)
+	q.Deadline = h.now + 50
+	if got := finalAnswers(h.step(0, q)); len(got) != 1 || got[0] != "refuse last" {
 		t.Fatal(got)
 	}
 }
 
-// Danger: a note of a spill comes at no steady pace; the next word after it may take a period and a half.
-func TestSpillNoteIsNotSteady(t *testing.T) {
-	s := base()
-	s.NotePeriod = 1000
-	r := newRig(t, s, eng("e1"))
-	r.step(1, req("a", "wide", r))
-	r.step(20, Note{"a", 0, "e1", NoteSpill, 100})
+// Progress notices come at a fixed period, spill notices do not. If a spill notice counted as progress, an attempt whose
+// next notice comes 1.5 periods later would be taken for lost.
+func TestSpillNoticeIsNotTakenForProgress(t *testing.T) {
+	s := testSettings()
+	s.NoticePeriod = 1000
+	h := newHarness(t, s, testEngine("e1"))
+	h.step(1, testRequest("a", "wide", h))
+	h.step(20, Notice{"a", 0, "e1", NoticeSpill, 100})
 	for i := 0; i < 14; i++ {
-		for _, a := range r.step(100, Timer{"check"}) {
+		for _, a := range h.step(100, Timer{"check"}) {
 			if c, ok := a.(Cancel); ok {
-				t.Fatalf("a live query moved: %v", c)
+				t.Fatalf("an attempt that still runs was cancelled: %v", c)
 			}
 		}
 	}
 }
 
-// Danger: an engine past its knee or short of memory answers far slower than under light load: its room shrinks.
-func TestCrowded(t *testing.T) {
-	r := newRig(t, base(), eng("e1"))
-	e, q := r.f.engine(eng("e1")), &request{c: r.f.classes["quick"]}
-	r.f.now, e.threads = r.now, 15
-	if !r.f.room(e, q) {
-		t.Fatal("no room under two threads a core")
-	}
-	e.took, e.tookLight = 3000, 1000
-	if r.f.room(e, q) {
-		t.Fatal("room on a crowded engine")
+// An overloaded engine, or one short of memory, answers far slower than under light load while its reports may look idle.
+// Its room must shrink, or it is sent more than it can serve.
+func TestSlowAnswersShrinkRoom(t *testing.T) {
+	h := newHarness(t, testSettings(), testEngine("e1"))
+	e, q := h.scheduler.engineFor(testEngine("e1")), &request{class: h.scheduler.classes["quick"]}
+	h.scheduler.now, e.threadsOut = h.now, 15
+	if !h.scheduler.hasRoom(e, q) {
+		t.Fatal("no room below two threads per core")
+	}
+	e.answerTimes, e.lightAnswerTimes = 3000, 1000
+	if h.scheduler.hasRoom(e, q) {
+		t.Fatal("an engine that answers three times slower than under light load has room")
 	}
 }
 
-// Danger: with many fronts each a whole query over its part, an engine is crowded by all of them together.
-func TestOvershoot(t *testing.T) {
-	s := base()
-	s.Fronts = 5 // 3.2 threads of room on 8 cores
-	r := newRig(t, s, eng("e1"))
-	e, q := r.f.engines[0], &request{c: r.f.classes["wide"]}
-	r.f.now, e.threads = r.now, 3
-	if r.f.room(e, q) {
-		t.Fatal("overshot by a whole query with no word of an idle engine")
-	}
-	e.report, e.reportAt = 0.2, r.now
-	if !r.f.room(e, q) {
+// If each of many coordinators exceeds its share of an engine's room by one query, together they overload the engine. Only
+// a report that it is idle permits that.
+func TestManyCoordinatorsDoNotOverfillEngine(t *testing.T) {
+	s := testSettings()
+	s.CoordinatorCount = 5 // each may use 3.2 threads on 8 cores
+	h := newHarness(t, s, testEngine("e1"))
+	e, q := h.scheduler.engines[0], &request{class: h.scheduler.classes["wide"]}
+	h.scheduler.now, e.threadsOut = h.now, 3
+	if h.scheduler.hasRoom(e, q) {
+		t.Fatal("share exceeded by a whole query though no report shows an idle engine")
+	}
+	e.reportedLoad, e.reportedAt = 0.2, h.now
+	if !h.scheduler.hasRoom(e, q) {
 		t.Fatal("no room though the engine is reported idle")
 	}
 }
 
-// Overload: what can no longer meet its aim and has no room is refused at once with advice.
+// Under overload, a request that finds no room and can no longer meet its latency target is refused at once, with advice
+// when to come back.
 func TestEarlyRefusal(t *testing.T) {
-	s := base()
+	s := testSettings()
 	s.Kinds[0].Cores = 1
-	r := newRig(t, s, eng("e1"))
-	for _, a := range r.step(1, req("a", "quick", r), req("b", "quick", r), req("c", "quick", r)) {
+	h := newHarness(t, s, testEngine("e1"))
+	for _, a := range h.step(1, testRequest("a", "quick", h), testRequest("b", "quick", h), testRequest("c", "quick", h)) {
 		if x, ok := a.(Refuse); ok {
-			if x.Request != "c" || x.ComeBack <= 0 {
+			if x.Request != "c" || x.RetryAfter <= 0 {
 				t.Fatal(x)
 			}
 			return
 		}
 	}
-	t.Fatal("not refused")
+	t.Fatal("no request refused")
 }
 
-// Danger: estimates of memory too low by class make every query spill, and the extra work fills the disks.
+// If a class's memory estimates are too low, each query spills and the extra work fills the disks. Grants must grow with
+// the reported spills, up to the need and not far past it.
 func TestGrantsFollowSpills(t *testing.T) {
-	s := base()
-	s.GrantsHeeded, s.NotePeriod = true, 500
-	f := New(s, 0)
-	f.Step(0, []Event{EngineList{Whole: true, Engines: []Engine{{ID: "e0", Zone: "a", Kind: "k8"}}}})
+	s := testSettings()
+	s.GrantsHonored, s.NoticePeriod = true, 500
+	scheduler := New(s, 0)
+	scheduler.Step(0, []Event{EngineList{Complete: true, Engines: []Engine{{ID: "e0", Zone: "a", Kind: "k8"}}}})
 	grant, now := 0.0, 0.0
 	for i := 0; i < 60; i++ {
 		now += 100
 		id := fmt.Sprint("q", i)
-		for _, a := range f.Step(now, []Event{Request{ID: id, Class: "quick", Deadline: now + 2000, Work: 100, Mem: 200, Tables: "1"}}) {
-			if x, ok := a.(Terms); ok {
+		for _, a := range scheduler.Step(now, []Event{Request{ID: id, Class: "quick", Deadline: now + 2000, Work: 100, Mem: 200,
+			TableGroup: "1"}}) {
+			if x, ok := a.(SendOptions); ok {
 				grant = x.Grant
 			}
 		}
-		ev := []Event{}
+		events := []Event{}
 		if missing := 600 - grant; missing > 0 {
-			ev = append(ev, Note{Request: id, Engine: "e0", Kind: NoteSpill, Level: missing})
+			events = append(events, Notice{Request: id, Engine: "e0", Kind: NoticeSpill, Level: missing})
 		}
-		f.Step(now+50, append(ev, Outcome{Request: id, Engine: "e0", Result: OK, Took: 50, Ended: true}))
+		scheduler.Step(now+50, append(events, Outcome{Request: id, Engine: "e0", Result: OK, Duration: 50, RequestEnded: true}))
 	}
 	if grant < 500 || grant > 900 {
-		t.Errorf("queries that need 600 MB where 200 are estimated get %.0f", grant)
+		t.Errorf("queries that need 600 MB and are estimated at 200 MB are granted %.0f MB, want 500 to 900", grant)
 	}
 }
 
-// Where clients wait for 145 ms at most, a query with 100 ms left is no lost one, and what is held is looked at often
-// enough to be answered in time.
+// Where clients wait for 145 ms at most, a query with 100 ms left must still be sent, and held queries must be checked often
+// enough to be answered before their deadline.
 func TestShortDeadlines(t *testing.T) {
-	f := New(Settings{Fronts: 1, MaxAttempts: 6, Classes: []Class{{Name: "lookup", Worth: 1, Aim: 30, Limit: 145, Threads: 1}}}, 1000)
-	f.Step(1000, []Event{EngineList{Whole: true, Engines: []Engine{{ID: "e1"}}}})
-	if s := sends(f.Step(1010, []Event{Request{ID: "q", Class: "lookup", Deadline: 1110, Work: 5}})); len(s) != 1 {
-		t.Fatalf("sent as %v", s)
+	scheduler := New(Settings{CoordinatorCount: 1, MaxAttempts: 6,
+		Classes: []Class{{Name: "lookup", Value: 1, LatencyTarget: 30, ClientTimeout: 145, Threads: 1}}}, 1000)
+	scheduler.Step(1000, []Event{EngineList{Complete: true, Engines: []Engine{{ID: "e1"}}}})
+	if s := sendActions(scheduler.Step(1010, []Event{Request{ID: "q", Class: "lookup", Deadline: 1110, Work: 5}})); len(s) != 1 {
+		t.Fatalf("sends %v, want one", s)
 	}
-	f.Step(1011, []Event{EngineList{Whole: true, Engines: []Engine{{ID: "e1", Status: Draining}}}, Request{ID: "r", Class: "lookup", Deadline: 1060, Work: 5}})
+	scheduler.Step(1011, []Event{EngineList{Complete: true, Engines: []Engine{{ID: "e1", Status: Draining}}},
+		Request{ID: "r", Class: "lookup", Deadline: 1060, Work: 5}})
 	for now := 1015.0; now <= 1060; now += 5 {
-		if len(finals(f.Step(now, nil))) > 0 {
+		if len(finalAnswers(scheduler.Step(now, nil))) > 0 {
 			return
 		}
 	}
-	t.Error("a held query was not answered before its deadline")
+	t.Error("a held query had no answer before its deadline")
 }
 
-// What has no room now but still earns after its aim is held, not refused; what earns nothing then is refused.
-func TestHeldWhereLateEarns(t *testing.T) {
-	for _, late := range []float64{0, 0.3} {
-		s := base()
-		s.Kinds[0].Cores, s.Classes[0].LateWorth = 1, late
-		r := newRig(t, s, eng("e1"))
-		refused := len(finals(r.step(1, req("a", "quick", r), req("b", "quick", r), req("c", "quick", r)))) > 0
-		if refused != (late == 0) {
-			t.Errorf("late worth %v: refused %v", late, refused)
+// A request that finds no room is held if an answer after its latency target still has value, and refused if not.
+func TestLateValueDecidesBetweenHoldAndRefusal(t *testing.T) {
+	for _, lateValue := range []float64{0, 0.3} {
+		s := testSettings()
+		s.Kinds[0].Cores, s.Classes[0].LateValueShare = 1, lateValue
+		h := newHarness(t, s, testEngine("e1"))
+		refused := len(finalAnswers(h.step(1,
+			testRequest("a", "quick", h), testRequest("b", "quick", h), testRequest("c", "quick", h)))) > 0
+		if refused != (lateValue == 0) {
+			t.Errorf("value of a late answer %v: refused is %v", lateValue, refused)
 		}
 	}
 }
 
-// A learned estimate is not corrected by what told ones are off by, nor does it teach that correction.
-func TestLearnedEstimate(t *testing.T) {
-	r := newRig(t, base(), eng("e1"))
+// The error of clients' estimates is learned by class. That correction must neither be applied to an estimate that the
+// coordinator learned itself, nor be changed by it.
+func TestLearnedEstimateIsNotCorrected(t *testing.T) {
+	h := newHarness(t, testSettings(), testEngine("e1"))
 	for i := range 300 {
-		q := req(fmt.Sprint("q", i), "quick", r)
+		q := testRequest(fmt.Sprint("q", i), "quick", h)
 		q.Work = 400
-		r.one(r.step(1, q))
-		r.step(50, Outcome{Request: q.ID, Engine: "e1", Result: OK, Took: 50, Work: 100, Ended: true})
-	}
-	c := r.f.classes["quick"]
-	if c.hintRatio > 0.3 {
-		t.Fatalf("told estimates are corrected by %v", c.hintRatio)
-	}
-	was := c.hintRatio
-	q := req("l", "quick", r)
-	q.Work, q.Learned = 400, true
-	r.step(1, q)
-	if got := r.f.work(r.f.requests["l"]); got != 400 {
+		h.requireOneSend(h.step(1, q))
+		h.step(50, Outcome{Request: q.ID, Engine: "e1", Result: OK, Duration: 50, Work: 100, RequestEnded: true})
+	}
+	c := h.scheduler.classes["quick"]
+	if c.estimateRatio > 0.3 {
+		t.Fatalf("clients' estimates four times too high are corrected by %v, want at most 0.3", c.estimateRatio)
+	}
+	before := c.estimateRatio
+	q := testRequest("l", "quick", h)
+	q.Work, q.EstimateLearned = 400, true
+	h.step(1, q)
+	if got := h.scheduler.predictWork(h.scheduler.requests["l"]); got != 400 {
 		t.Errorf("a learned estimate of 400 counts as %v", got)
 	}
-	r.step(50, Outcome{Request: "l", Engine: "e1", Result: OK, Took: 50, Work: 400, Ended: true})
-	if c.hintRatio != was {
-		t.Errorf("it changes the correction from %v to %v", was, c.hintRatio)
+	h.step(50, Outcome{Request: "l", Engine: "e1", Result: OK, Duration: 50, Work: 400, RequestEnded: true})
+	if c.estimateRatio != before {
+		t.Errorf("a learned estimate changed the correction from %v to %v", before, c.estimateRatio)
 	}
 }
--- a/choice/lifecycle_test.go
+++ b/choice/lifecycle_test.go
@@ -6,58 +6,60 @@
 	"testing"
 )
 
-// Discovery by asking: a broken call is repeated, at first soon, within the time that the rule allows.
-func TestAsk(t *testing.T) {
-	s := base()
-	s.Ask = true
-	r := newRig(t, s)
+// A subscription to the engine list that breaks must be repeated soon, or the scheduler works with an old list; but with
+// growing pauses, or a failing discovery service is flooded.
+func TestBrokenSubscriptionIsRepeated(t *testing.T) {
+	s := testSettings()
+	s.MustSubscribe = true
+	h := newHarness(t, s)
 	asks := 0
 	for i := 0; i < 100; i++ {
-		var ev []Event
-		for _, a := range r.step(100, Timer{"check"}) {
+		var events []Event
+		for _, a := range h.step(100, Timer{"check"}) {
 			if _, ok := a.(Subscribe); ok {
 				asks++
-				ev = append(ev, EngineList{Broken: true})
+				events = append(events, EngineList{Failed: true})
 			}
 		}
-		r.step(0, ev...)
+		h.step(0, events...)
 	}
 	if asks < 4 || asks > 30 {
-		t.Fatalf("asked %d times in 10 s", asks)
+		t.Fatalf("subscribed %d times in 10 s, want 4 to 30", asks)
 	}
 }
 
-// Events for ended or unknown things are harmless.
-func TestStrayEvents(t *testing.T) {
-	r := newRig(t, base(), eng("e1"))
-	acts := r.step(1, Outcome{Request: "no", Engine: "e9", Result: OK}, Gone{"no"}, Timer{"old"}, Note{Request: "no"},
-		Probed{Engine: "e9", Result: OK}, EngineList{Broken: true}, Request{ID: "u", Class: "unheard", Deadline: r.now + 900})
-	if got := r.one(acts); got.Request != "u" {
+// Events about ended or unknown requests, engines and timers may arrive late. They must cause no action, and not disturb
+// requests that are open.
+func TestUnknownEventsAreHarmless(t *testing.T) {
+	h := newHarness(t, testSettings(), testEngine("e1"))
+	actions := h.step(1, Outcome{Request: "no", Engine: "e9", Result: OK}, ClientGone{"no"}, Timer{"old"}, Notice{Request: "no"},
+		ProbeResult{Engine: "e9", Result: OK}, EngineList{Failed: true}, Request{ID: "u", Class: "unheard", Deadline: h.now + 900})
+	if got := h.requireOneSend(actions); got.Request != "u" {
 		t.Fatal(got)
 	}
-	if len(r.step(1, Outcome{Request: "u", Engine: "e1", Result: OK, Ended: true, Work: math.Inf(1)}, Gone{"u"})) > 1 {
-		t.Fatal("acts on stray events")
+	if len(h.step(1, Outcome{Request: "u", Engine: "e1", Result: OK, RequestEnded: true, Work: math.Inf(1)}, ClientGone{"u"})) > 1 {
+		t.Fatal("acts on events of an ended request")
 	}
 }
 
-// Danger: clients that leave early would leave their work on the engines.
-func TestGoneFreesEngine(t *testing.T) {
-	f := New(base(), 0)
-	f.Step(0, []Event{EngineList{Whole: true, Engines: []Engine{{ID: "e0", Zone: "a", Kind: "k8"}}}})
-	f.Step(1, []Event{Request{ID: "q", Class: "quick", Deadline: 2000}})
-	for _, a := range f.Step(10, []Event{Gone{"q"}}) {
+// When a client disconnects, its query must be cancelled on the engine, or the engine works for nobody.
+func TestClientGoneCancelsAttempt(t *testing.T) {
+	scheduler := New(testSettings(), 0)
+	scheduler.Step(0, []Event{EngineList{Complete: true, Engines: []Engine{{ID: "e0", Zone: "a", Kind: "k8"}}}})
+	scheduler.Step(1, []Event{Request{ID: "q", Class: "quick", Deadline: 2000}})
+	for _, a := range scheduler.Step(10, []Event{ClientGone{"q"}}) {
 		if a == (Cancel{"q", 0}) {
 			return
 		}
 	}
-	t.Error("the attempt of a client that has left goes on")
+	t.Error("attempt not cancelled after its client has gone")
 }
 
-// Given up means answered: the final answer comes in the very step in which the request is given up, with advice
-// where a new try does no harm, and nothing of it is held back.
-func TestGivenUpIsAnswered(t *testing.T) {
-	answer := func(acts []Action) Action {
-		for _, a := range acts {
+// The final answer must come in the step in which a request ends without success. A request that stays open past that point
+// keeps its client waiting for nothing.
+func TestFinalAnswerComesAtOnce(t *testing.T) {
+	answer := func(actions []Action) Action {
+		for _, a := range actions {
 			switch a.(type) {
 			case Refuse, Fail:
 				return a
@@ -65,86 +67,90 @@
 		}
 		return nil
 	}
-	engine := EngineList{Whole: true, Engines: []Engine{{ID: "e0", Zone: "a", Kind: "k8"}}}
-	t.Run("overload", func(t *testing.T) { // what finds no room is refused once its aim is out of reach
-		f := New(base(), 0)
-		f.Step(0, []Event{engine})
+	list := EngineList{Complete: true, Engines: []Engine{{ID: "e0", Zone: "a", Kind: "k8"}}}
+	t.Run("overload", func(t *testing.T) { // no room: refused once the latency target cannot be met
+		scheduler := New(testSettings(), 0)
+		scheduler.Step(0, []Event{list})
 		refused := 0
 		for i := 0; i < 40; i++ {
-			if a, ok := answer(f.Step(1, []Event{Request{ID: fmt.Sprint("w", i), Class: "quick", Deadline: 2000}})).(Refuse); ok {
-				if refused++; a.ComeBack <= 0 {
-					t.Errorf("refused with no advice: %v", a)
+			if a, ok := answer(scheduler.Step(1, []Event{
+				Request{ID: fmt.Sprint("w", i), Class: "quick", Deadline: 2000}})).(Refuse); ok {
+				if refused++; a.RetryAfter <= 0 {
+					t.Errorf("refused with no advice when to come back: %v", a)
 				}
 			}
 		}
 		for now := 10.0; now < 420; now += 10 {
-			for _, a := range f.Step(now, []Event{Timer{"check"}}) {
+			for _, a := range scheduler.Step(now, []Event{Timer{"check"}}) {
 				if _, ok := a.(Refuse); ok {
 					refused++
 				}
 			}
 		}
 		if refused < 20 { // the engine has room for 16
-			t.Errorf("%d of 40 answered by their aim, the others held", refused)
+			t.Errorf("%d of 40 refused by their latency target, want at least 20", refused)
 		}
 	})
-	t.Run("aim passed", func(t *testing.T) { // no engine may take it: refused with its aim, not at its deadline
-		f := New(base(), 0)
-		f.Step(0, []Event{Request{ID: "q", Class: "quick", Deadline: 2000}})
+	t.Run("latency target passed", func(t *testing.T) { // no engine: refused at the target, not the deadline
+		scheduler := New(testSettings(), 0)
+		scheduler.Step(0, []Event{Request{ID: "q", Class: "quick", Deadline: 2000}})
 		for now := 10.0; now < 420; now += 10 {
-			if answer(f.Step(now, []Event{Timer{"check"}})) != nil {
+			if answer(scheduler.Step(now, []Event{Timer{"check"}})) != nil {
 				return
 			}
 		}
-		t.Error("held past its aim with no answer")
+		t.Error("held past its latency target with no answer")
 	})
 	t.Run("attempts used up", func(t *testing.T) {
-		s := base()
+		s := testSettings()
 		s.MaxAttempts = 1
-		f := New(s, 0)
-		f.Step(0, []Event{engine})
-		f.Step(1, []Event{Request{ID: "q", Class: "wide", Deadline: 25000}})
-		if answer(f.Step(5, []Event{Outcome{Request: "q", Engine: "e0", Result: Error, Took: 4}})) == nil {
-			t.Error("its only attempt failed, and no answer came with that")
+		scheduler := New(s, 0)
+		scheduler.Step(0, []Event{list})
+		scheduler.Step(1, []Event{Request{ID: "q", Class: "wide", Deadline: 25000}})
+		if answer(scheduler.Step(5, []Event{Outcome{Request: "q", Engine: "e0", Result: Error, Duration: 4}})) == nil {
+			t.Error("no answer in the step in which its only attempt failed")
 		}
 	})
-	t.Run("may have run", func(t *testing.T) { // a load that may have run fails at once, is not sent again nor refused
-		f := New(base(), 0)
-		f.Step(0, []Event{engine})
-		f.Step(1, []Event{Request{ID: "q", Class: "load", Deadline: 20000}})
-		if _, ok := answer(f.Step(5, []Event{Outcome{Request: "q", Engine: "e0", Result: Reset, Took: 4}})).(Fail); !ok {
-			t.Error("a load whose only attempt was reset is not failed at once")
+	t.Run("may have run", func(t *testing.T) { // failed at once, neither sent again nor refused
+		scheduler := New(testSettings(), 0)
+		scheduler.Step(0, []Event{list})
+		scheduler.Step(1, []Event{Request{ID: "q", Class: "load", Deadline: 20000}})
+		if _, ok := answer(scheduler.Step(5, []Event{Outcome{Request: "q", Engine: "e0", Result: Reset, Duration: 4}})).(Fail); !ok {
+			t.Error("a load whose attempt was reset is not failed at once")
 		}
 	})
 }
 
-// A front that ends answers all that is open, and calls off what is out.
-func TestLeaving(t *testing.T) {
-	r := newRig(t, base(), eng("e1"))
-	r.step(1, req("a", "wide", r), req("b", "load", r))
-	acts := r.step(1, Leaving{})
-	if got := fmt.Sprint(acts[:4]); got != "[{a 0} "+fmt.Sprint(acts[1])+" {b 0} {b shutdown}]" || len(r.f.waiting) > 0 {
-		t.Fatalf("got %v", acts)
+// At shutdown every open request must get its final answer and every attempt be cancelled, or clients and engines are left
+// with requests that nobody handles.
+func TestShutdownAnswersOpenRequests(t *testing.T) {
+	h := newHarness(t, testSettings(), testEngine("e1"))
+	h.step(1, testRequest("a", "wide", h), testRequest("b", "load", h))
+	actions := h.step(1, ShuttingDown{})
+	if got := fmt.Sprint(actions[:4]); got != "[{a 0} "+fmt.Sprint(actions[1])+" {b 0} {b shutdown}]" ||
+		len(h.scheduler.waiting) > 0 {
+		t.Fatalf("got %v, want a cancel and a final answer for each request", actions)
 	}
 }
 
-// What is known of keys, table groups and engines goes with them.
-func TestForgets(t *testing.T) {
-	s := base()
-	s.OrderSettle = 5
-	r := newRig(t, s, eng("e1"))
+// State of order keys, table groups and engines that are no longer in use must be dropped, or memory grows without bound.
+func TestUnusedStateIsDropped(t *testing.T) {
+	s := testSettings()
+	s.OrderSettleTime = 5
+	h := newHarness(t, s, testEngine("e1"))
 	for i := 0; i < 50; i++ {
 		id := fmt.Sprint("k", i)
-		q := req(id, "load", r)
-		q.Key, q.Tables = id, id
-		r.step(10, q)
-		r.step(10, Outcome{Request: id, Engine: "e1", Result: Cancelled})
+		q := testRequest(id, "load", h)
+		q.OrderKey, q.TableGroup = id, id
+		h.step(10, q)
+		h.step(10, Outcome{Request: id, Engine: "e1", Result: Cancelled})
 	}
-	r.step(0, EngineList{Whole: true, Engines: []Engine{eng("e2")}})
+	h.step(0, EngineList{Complete: true, Engines: []Engine{testEngine("e2")}})
 	for i := 0; i < 3; i++ {
-		r.step(40000, Timer{"check"})
+		h.step(40000, Timer{"check"})
 	}
-	if f := r.f; len(f.keys)+len(f.groups)+len(f.requests) > 0 || len(f.engines) != 1 || len(f.engines[0].tables) > 0 {
-		t.Errorf("left: %d keys, %d groups, %d requests, %d engines", len(f.keys), len(f.groups), len(f.requests), len(f.engines))
+	if f := h.scheduler; len(f.orderKeys)+len(f.tableGroups)+len(f.requests) > 0 || len(f.engines) != 1 || len(f.engines[0].tableGroupSentAt) > 0 {
+		t.Errorf("still kept: %d keys, %d table groups, %d requests, %d engines",
+			len(f.orderKeys), len(f.tableGroups), len(f.requests), len(f.engines))
 	}
 }
--- a/choice/places_test.go
+++ b/choice/places_test.go
@@ -4,122 +4,131 @@
 	"testing"
 )
 
-// A load behind another on the same tables of an engine is predicted to wait for it.
-func TestLoadAhead(t *testing.T) {
-	r := newRig(t, base(), eng("e1"))
-	e, q := r.f.engines[0], &request{Request: Request{Tables: "7"}, c: r.f.classes["load"]}
-	other := &request{Request: Request{Tables: "8"}, c: r.f.classes["load"]}
-	r.step(1, req("a", "load", r))
-	if r.f.predict(e, q, true) <= r.f.predict(e, other, true) {
-		t.Fatal("the load ahead does not count")
+// A load holds its table group on its engine. The prediction for another load of that group must include the wait for it.
+func TestLoadWaitsForLoadAhead(t *testing.T) {
+	h := newHarness(t, testSettings(), testEngine("e1"))
+	e, q := h.scheduler.engines[0], &request{Request: Request{TableGroup: "7"}, class: h.scheduler.classes["load"]}
+	other := &request{Request: Request{TableGroup: "8"}, class: h.scheduler.classes["load"]}
+	h.step(1, testRequest("a", "load", h))
+	if h.scheduler.predictLatency(e, q, true) <= h.scheduler.predictLatency(e, other, true) {
+		t.Fatal("the load ahead does not lengthen the prediction")
 	}
 }
 
-// Where places are scarce, a lookup that stands still behind a load gives its place up once others earn more in
-// it; where they are not, it keeps waiting.
-func TestStandingStillWherePlacesAreScarce(t *testing.T) {
-	for _, held := range []int{0, 2} {
-		f := New(Settings{Fronts: 1, MaxAttempts: 6, CanCancel: true, NotePeriod: 1000, MostHeld: held, Classes: []Class{
-			{Name: "lookup", Worth: 1, LateWorth: 0.1, Aim: 600, Threads: 1, Waits: true},
-			{Name: "load", Worth: 15, LateWorth: 0.6, Aim: 4000, Threads: 2, Load: true, Effect: Keyed, Window: 12000}}}, 1000)
-		f.Step(1000, []Event{EngineList{Whole: true, Engines: []Engine{{ID: "e1"}}}})
-		for i, at := 0, 1010.0; i < 40; i, at = i+1, at+20 { // quick answers: what a place earns
+// A lookup that waits for a load's tables occupies a slot of the coordinator. Where slots are scarce it must be refused once
+// other requests serve more value in that slot; where there is no limit it keeps waiting.
+func TestBlockedQueryRefusedWhenSlotsAreScarce(t *testing.T) {
+	for _, maxHeld := range []int{0, 2} {
+		scheduler := New(Settings{CoordinatorCount: 1, MaxAttempts: 6, CanCancel: true, NoticePeriod: 1000, MaxOpenRequests: maxHeld,
+			Classes: []Class{
+				{Name: "lookup", Value: 1, LateValueShare: 0.1, LatencyTarget: 600, Threads: 1, WaitsForLoads: true},
+				{Name: "load", Value: 15, LateValueShare: 0.6, LatencyTarget: 4000, Threads: 2, IsLoad: true, Idempotency: Deduplicated, DedupWindow: 12000},
+			}}, 1000)
+		scheduler.Step(1000, []Event{EngineList{Complete: true, Engines: []Engine{{ID: "e1"}}}})
+		for i, at := 0, 1010.0; i < 40; i, at = i+1, at+20 { // quick answers set the value served per slot
 			id := "q" + string(rune('a'+i%26)) + string(rune('a'+i/26))
-			f.Step(at, []Event{Request{ID: id, Class: "lookup", Deadline: at + 3000, Work: 5, Tables: "1"}})
-			f.Step(at+10, []Event{Outcome{Request: id, Engine: "e1", Result: OK, Took: 10, Ended: true, Work: 5}})
+			scheduler.Step(at, []Event{Request{ID: id, Class: "lookup", Deadline: at + 3000, Work: 5, TableGroup: "1"}})
+			scheduler.Step(at+10, []Event{Outcome{Request: id, Engine: "e1", Result: OK, Duration: 10, RequestEnded: true, Work: 5}})
 		}
-		f.Step(2000, []Event{Request{ID: "s1", Class: "lookup", Deadline: 5000, Work: 5, Tables: "2"},
-			Request{ID: "s2", Class: "lookup", Deadline: 5000, Work: 5, Tables: "2"}})
+		scheduler.Step(2000, []Event{Request{ID: "s1", Class: "lookup", Deadline: 5000, Work: 5, TableGroup: "2"},
+			Request{ID: "s2", Class: "lookup", Deadline: 5000, Work: 5, TableGroup: "2"}})
 		refused := 0
-		for _, a := range f.Step(2005, []Event{Note{Request: "s1", Engine: "e1", Kind: NoteWait, Level: 2}}) {
+		for _, a := range scheduler.Step(2005, []Event{Notice{Request: "s1", Engine: "e1", Kind: NoticeWait, Level: 2}}) {
 			if r, ok := a.(Refuse); ok && r.Request == "s1" {
 				refused++
 			}
 		}
-		if want := min(held, 1); refused != want {
-			t.Errorf("with %d places: %d refusals at the note, want %d", held, refused, want)
+		if want := min(maxHeld, 1); refused != want {
+			t.Errorf("with %d slots: %d refusals at the wait notice, want %d", maxHeld, refused, want)
 		}
 	}
 }
 
-// Loads of a table group keep to its homes, so that its readers find engines where no load holds it.
-func TestLoadsKeepToHomes(t *testing.T) {
-	f := New(Settings{Fronts: 1, MaxAttempts: 6, Kinds: []Kind{{Name: "k", Cores: 100}},
-		Classes: []Class{{Name: "load", Worth: 15, Aim: 4000, Threads: 2, Load: true, Effect: Keyed, Window: 12000}}}, 1000)
-	list := EngineList{Whole: true}
+// Loads of a table group must stay on its home engines. Spread over the fleet they would hold the group everywhere, and its
+// readers would find no engine where they need not wait.
+func TestLoadsStayOnHomeEngines(t *testing.T) {
+	scheduler := New(Settings{CoordinatorCount: 1, MaxAttempts: 6, Kinds: []Kind{{Name: "k", Cores: 100}},
+		Classes: []Class{{Name: "load", Value: 15, LatencyTarget: 4000, Threads: 2, IsLoad: true, Idempotency: Deduplicated, DedupWindow: 12000}}}, 1000)
+	list := EngineList{Complete: true}
 	for _, id := range []string{"e1", "e2", "e3", "e4", "e5", "e6", "e7", "e8"} {
 		list.Engines = append(list.Engines, Engine{ID: id, Kind: "k"})
 	}
-	f.Step(1000, []Event{list})
+	scheduler.Step(1000, []Event{list})
 	used := map[string]bool{}
 	for i := 0; i < 4; i++ {
 		now := 1000 + float64(10*i)
-		for _, a := range f.Step(now, []Event{Request{ID: "l" + string(rune('a'+i)), Class: "load", Deadline: now + 20000, Work: 100, Tables: "3"}}) {
+		for _, a := range scheduler.Step(now, []Event{Request{ID: "l" + string(rune('a'+i)), Class: "load",
+			Deadline: now + 20000, Work: 100, TableGroup: "3"}}) {
 			if s, ok := a.(Send); ok {
 				used[s.Engine] = true
 			}
 		}
 	}
 	if len(used) == 0 || len(used) > 3 {
-		t.Errorf("four loads of one table group went to %d of 8 engines", len(used))
+		t.Errorf("four loads of one table group went to %d of 8 engines, want 1 to 3", len(used))
 	}
 }
 
-// A load holds up others, so near the limit of places it has to earn for more than its own.
-func TestLoadsCountForMore(t *testing.T) {
-	f := New(Settings{Fronts: 1, MostHeld: 10, Classes: []Class{{Name: "report", Worth: 12}, {Name: "load", Worth: 12, Load: true}}}, 1000)
-	f.now, f.earned = 1000, fading{v: 10 * 0.01 * earnSpan, at: 1000} // a place earns 0.01 a millisecond
+// A load makes other queries wait in their slots too. Where slots are scarce it must therefore serve the value of several
+// slots, where a report of the same value needs that of one.
+func TestLoadMustServeValueOfSeveralSlots(t *testing.T) {
+	scheduler := New(Settings{CoordinatorCount: 1, MaxOpenRequests: 10,
+		Classes: []Class{{Name: "report", Value: 12}, {Name: "load", Value: 12, IsLoad: true}}}, 1000)
+	scheduler.now, scheduler.servedValue = 1000, decayingSum{sum: 10 * 0.01 * servedValueWindowMs, updatedAt: 1000} // each slot serves a value of 0.01 per ms
 	for name, want := range map[string]bool{"report": true, "load": false} {
-		q := &request{c: f.class(name), worth: 12, aimAt: 5000}
-		if got := f.earns(q, 1000); got != want {
-			t.Errorf("%s: worth its place for a second: %v, want %v", name, got, want)
+		q := &request{class: scheduler.classFor(name), value: 12, targetAt: 5000}
+		if got := scheduler.justifiesSlot(q, 1000); got != want {
+			t.Errorf("%s: worth a slot for 1,000 ms: %v, want %v", name, got, want)
 		}
 	}
 }
 
-// What stands still behind a load goes elsewhere at once, whether or not places are scarce; with nowhere to go it
-// stays.
-func TestStandingStillMoves(t *testing.T) {
+// A query that waits for a load's tables must move to another engine at once, even if slots are not scarce. With no other
+// engine it stays.
+func TestBlockedQueryMovesToOtherEngine(t *testing.T) {
 	for _, engines := range []int{1, 2} {
-		f := New(Settings{Fronts: 1, MaxAttempts: 6, CanCancel: true, NotePeriod: 1000, Classes: []Class{
-			{Name: "lookup", Worth: 1, LateWorth: 0.1, Aim: 600, Threads: 1, Waits: true},
-			{Name: "load", Worth: 15, LateWorth: 0.6, Aim: 4000, Threads: 2, Load: true, Effect: Keyed, Window: 12000}}}, 1000)
-		f.Step(1000, []Event{EngineList{Whole: true, Engines: []Engine{{ID: "e1"}, {ID: "e2"}}[:engines]}})
-		on := sends(f.Step(1010, []Event{Request{ID: "s", Class: "lookup", Deadline: 4000, Work: 5, Tables: "2"}}))[0].Engine
+		scheduler := New(Settings{CoordinatorCount: 1, MaxAttempts: 6, CanCancel: true, NoticePeriod: 1000, Classes: []Class{
+			{Name: "lookup", Value: 1, LateValueShare: 0.1, LatencyTarget: 600, Threads: 1, WaitsForLoads: true},
+			{Name: "load", Value: 15, LateValueShare: 0.6, LatencyTarget: 4000, Threads: 2, IsLoad: true, Idempotency: Deduplicated, DedupWindow: 12000}}}, 1000)
+		scheduler.Step(1000, []Event{EngineList{Complete: true, Engines: []Engine{{ID: "e1"}, {ID: "e2"}}[:engines]}})
+		sentTo := sendActions(scheduler.Step(1010, []Event{
+			Request{ID: "s", Class: "lookup", Deadline: 4000, Work: 5, TableGroup: "2"}}))[0].Engine
 		moved := false
-		for _, a := range f.Step(1012, []Event{Note{Request: "s", Engine: on, Kind: NoteWait, Level: 2}}) {
+		for _, a := range scheduler.Step(1012, []Event{Notice{Request: "s", Engine: sentTo, Kind: NoticeWait, Level: 2}}) {
 			_, cancel := a.(Cancel)
 			moved = moved || cancel
 		}
 		if moved != (engines == 2) {
-			t.Errorf("%d engines: moved %v", engines, moved)
+			t.Errorf("%d engines: moved is %v", engines, moved)
 			continue
 		}
 		if engines == 2 {
-			acts := f.Step(1014, []Event{Outcome{Request: "s", Engine: on, Result: Cancelled, Took: 4}})
-			if s := sends(acts); len(s) != 1 || s[0].Engine == on {
-				t.Errorf("sent on as %v", s)
+			actions := scheduler.Step(1014, []Event{Outcome{Request: "s", Engine: sentTo, Result: Cancelled, Duration: 4}})
+			if s := sendActions(actions); len(s) != 1 || s[0].Engine == sentTo {
+				t.Errorf("sends %v after the cancel, want one to the other engine", s)
 			}
 		}
 	}
 }
 
-// Readers keep off the homes of a table group that loads hold most of the time, though none is seen there now.
-func TestReadersAvoidHomesOfLoads(t *testing.T) {
-	s := base()
-	s.Classes[0].Waits, s.Classes[2].Effect = true, Keyed
-	r := newRig(t, s, eng("e1"), eng("e2"), eng("e3"), eng("e4"), eng("e5"), eng("e6"))
-	q := &request{Request: req("q", "quick", r), c: r.f.classes["quick"]}
-	home := r.f.homes(q)[0]
+// Loads of other coordinators are not visible. On the home engines of a table group that is often loaded, readers must be
+// predicted to wait even if no load is visible there now.
+func TestReadersAvoidHomeEnginesOfLoads(t *testing.T) {
+	s := testSettings()
+	s.Classes[0].WaitsForLoads, s.Classes[2].Idempotency = true, Deduplicated
+	h := newHarness(t, s, testEngine("e1"), testEngine("e2"), testEngine("e3"),
+		testEngine("e4"), testEngine("e5"), testEngine("e6"))
+	q := &request{Request: testRequest("q", "quick", h), class: h.scheduler.classes["quick"]}
+	home := h.scheduler.homeEngines(q)[0]
 	for i := 0; i < 60; i++ {
 		id := "l" + string(rune('0'+i/10)) + string(rune('0'+i%10))
-		for _, x := range sends(r.step(100, req(id, "load", r))) {
-			r.step(1, Outcome{Request: id, Engine: x.Engine, Result: OK, Took: 900, Ended: true, Work: 1800})
+		for _, x := range sendActions(h.step(100, testRequest(id, "load", h))) {
+			h.step(1, Outcome{Request: id, Engine: x.Engine, Result: OK, Duration: 900, RequestEnded: true, Work: 1800})
 		}
 	}
-	held := r.f.predict(home, q, false)
-	r.f.group("7").loads = 0
-	if free := r.f.predict(home, q, false); held < free+r.f.lockWait()/4 {
-		t.Errorf("predicted %.0f ms where loads come, %.0f where none do", held, free)
+	withLoads := h.scheduler.predictLatency(home, q, false)
+	h.scheduler.tableGroupFor("7").loads = 0
+	if without := h.scheduler.predictLatency(home, q, false); withLoads < without+h.scheduler.expectedLockWait()/4 {
+		t.Errorf("predicted %.0f ms with frequent loads, %.0f ms without: want a longer wait", withLoads, without)
 	}
 }
--- a/choice/predict.go
+++ b/choice/predict.go
@@ -1,139 +1,151 @@
 package choice
 
-// Prediction: how long a query will take on an engine (2).
+// Prediction of how long a query will take on an engine.
 
 import (
 	"math"
 	"slices"
 )
 
-// work predicts a query's work: its estimate, corrected for its class, or the class's mean (2).
-func (f *Front) work(q *request) float64 {
-	if w := q.Work * q.hint(); w > 0.01 && w < 1e9 { // nonsense estimates count as none
+// predictWork predicts a query's work in CPU ms: its estimate corrected for its class, or else its class's
+// mean work.
+func (f *Scheduler) predictWork(q *request) float64 {
+	if w := q.Work * q.estimateMultiplier(); w > 0.01 && w < 1e9 { // implausible estimates count as none
 		return w
 	}
-	return q.c.work
+	return q.class.meanWork
 }
 
-// hint is what an estimate has to be multiplied with.
-func (q *request) hint() float64 {
-	if q.Learned {
+// estimateMultiplier is the ratio that corrects a query's estimate for its class. A learned estimate needs no
+// correction.
+func (q *request) estimateMultiplier() float64 {
+	if q.EstimateLearned {
 		return 1
 	}
-	return q.c.hintRatio
+	return q.class.estimateRatio
 }
 
-// scale is how much an engine's load slows a query (2): by our threads over its cores and reported
-// utilisation, else by what we have there ourselves, taking our peers to be alike.
-func (f *Front) scale(e *engine, threads float64) float64 {
-	own := (e.threads + threads) / e.cores
-	return (1 + own) * (1 + f.load(e))
+// loadSlowdown is the ratio by which load slows a query with that many threads on an engine: by the threads
+// that this coordinator has there, to the engine's cores, and by the engine's load.
+func (f *Scheduler) loadSlowdown(e *engine, threads float64) float64 {
+	ownLoad := (e.threadsOut + threads) / e.cores
+	return (1 + ownLoad) * (1 + f.engineLoad(e))
 }
 
-// load is the load of an engine: its report, which with age gives way to the fleet's mean. Departure: a front
-// among many sees each engine too seldom, and an attempt of its own there says little about its peers.
-func (f *Front) load(e *engine) float64 {
-	own := e.threads / e.cores
-	age := f.now - e.reportAt
-	if f.meanAt < f.now-reportLife && age > reportLife {
-		return own + (f.fronts-1)*(f.ownMean+(own-f.ownMean)/f.fronts)
+// engineLoad is an engine's load: its last report, which with age gives way to the fleet's mean. With no
+// recent report at all, it is this coordinator's own load there, taking its peers to send alike. Departure
+// from the design: one of many coordinators sees each engine too seldom, and its own attempt there says
+// little about what its peers send.
+func (f *Scheduler) engineLoad(e *engine) float64 {
+	ownLoad := e.threadsOut / e.cores
+	age := f.now - e.reportedAt
+	if f.meanReportedAt < f.now-reportLifetimeMs && age > reportLifetimeMs {
+		return ownLoad + (f.coordinators-1)*(f.meanOwnLoad+(ownLoad-f.meanOwnLoad)/f.coordinators)
 	}
-	return math.Max(own, f.meanLoad+(e.report-f.meanLoad)*math.Exp(-age/reportLife)+f.since(e))
+	return math.Max(ownLoad,
+		f.meanReportedLoad+(e.reportedLoad-f.meanReportedLoad)*math.Exp(-age/reportLifetimeMs)+
+			f.loadSinceReport(e))
 }
 
-// since is what an engine's load has grown by since its last report, by what we and, as they tell, our peers
-// sent it. Danger: reports are old when they come; a few costly queries of as many fronts fill an engine
-// unseen.
-func (f *Front) since(e *engine) float64 {
-	from, threads := e.reportAt-reportLag, 0.0
-	for _, a := range e.abroad { // our own are among them
-		if a.at > from && f.many && f.s.CanTell {
-			threads += a.threads * math.Exp((a.at-f.now)/a.long)
+// loadSinceReport is the load that an engine has gained since its last report from the queries that this
+// coordinator and, by their messages, its peers sent there. Reports are old when they arrive: without this, a
+// few costly queries from several coordinators would fill an engine before its next report shows it.
+func (f *Scheduler) loadSinceReport(e *engine) float64 {
+	since, threads := e.reportedAt-reportDelayMs, 0.0
+	for _, a := range e.recentSends { // this coordinator's sends included
+		if a.sentAt > since && f.manyPeers && f.settings.CanSendToPeers {
+			threads += a.threads * math.Exp((a.sentAt-f.now)/a.expectedRun)
 		}
 	}
-	return threads / e.cores / threadsACore
+	return threads / e.cores / maxThreadsPerCore
 }
 
-// factor is an engine's learned slowness, warm or cold (2). One not heard of counts as average; one not heard
-// of for long drifts back there.
-func (f *Front) factor(e *engine, warm bool) float64 {
-	x, other, avg, otherAvg := &e.cold, &e.warm, f.avgCold, f.avgWarm
+// slownessFactor is an engine's learned slowness for warm or for cold table groups. An engine without answers
+// counts as average, and one whose answers are old drifts back to the average.
+func (f *Scheduler) slownessFactor(e *engine, warm bool) float64 {
+	learned, other, mean, otherMean := &e.coldFactor, &e.warmFactor, f.meanColdFactor, f.meanWarmFactor
 	if warm {
-		x, other, avg, otherAvg = other, x, otherAvg, avg
+		learned, other, mean, otherMean = other, learned, otherMean, mean
 	}
-	v := avg
-	if x.n > 0 {
-		v = avg + (x.v-avg)*math.Exp((x.at-f.now)/forget)
-	} else if other.n > 0 {
-		v = avg * (1 + (other.v/otherAvg-1)*math.Exp((other.at-f.now)/forget))
+	slowness := mean
+	if learned.answers > 0 {
+		slowness = mean + (learned.ratio-mean)*math.Exp((learned.updatedAt-f.now)/slownessDecayMs)
+	} else if other.answers > 0 {
+		slowness = mean * (1 + (other.ratio/otherMean-1)*math.Exp((other.updatedAt-f.now)/slownessDecayMs))
 	}
-	// Danger: a hung engine answers nothing, so its factor would stay flattering. While it owes answers, its
-	// silence is a lower bound on its latency. Covers cut links and stopped machines.
-	return v * math.Max(f.silence(e)/silentTimes, 1)
+	// An unresponsive engine gives no answers, so its factor would stay favorable. While it owes answers, its
+	// silence is a lower bound on its latency. This covers cut links and stopped machines.
+	return slowness * math.Max(f.missedAnswers(e)/toleratedMissedAnswers, 1)
 }
 
-// silence is how many answers an engine should have given since it last gave word.
-func (f *Front) silence(e *engine) float64 {
+// missedAnswers is how many answers an engine should have given since it was last heard from.
+func (f *Scheduler) missedAnswers(e *engine) float64 {
 	missed := 0.0
-	for _, a := range e.out {
-		missed += (f.now - math.Max(e.heard, a.sent)) / math.Max(a.expect, 1)
+	for _, a := range e.openAttempts {
+		missed += (f.now - math.Max(e.lastHeardAt, a.sentAt)) / math.Max(a.expectedTime, 1)
 	}
 	return missed
 }
 
-// predict is the predicted latency of a query on an engine (2).
-func (f *Front) predict(e *engine, q *request, warm bool) float64 {
-	p := f.work(q) / q.c.Threads * f.factor(e, warm) * f.scale(e, q.c.Threads)
-	if e.Zone != f.s.Zone && f.s.CrossZonePrice > 0 {
-		p *= crossPenalty + crossQuiet*math.Max(0, 1-f.meanLoad/fullLoad)
+// predictLatency predicts how long a query takes on an engine, in ms.
+func (f *Scheduler) predictLatency(e *engine, q *request, warm bool) float64 {
+	latency := f.predictWork(q) / q.class.Threads * f.slownessFactor(e, warm) *
+		f.loadSlowdown(e, q.class.Threads)
+	if e.Zone != f.settings.Zone && f.settings.CrossZonePrice > 0 {
+		latency *= crossZonePenalty + idleCrossZonePenalty*math.Max(0, 1-f.meanReportedLoad/targetLoad)
 	}
-	// Danger: loads on every engine hold a table group everywhere, and its readers stand still at all.
-	if q.c.Load && !f.many && !slices.Contains(f.homes(q), e) {
-		p *= loadAway
+	// Loads on every engine would hold their table group everywhere, and its readers would have to wait on
+	// each of them.
+	if q.class.IsLoad && !f.manyPeers && !slices.Contains(f.homeEngines(q), e) {
+		latency *= loadOffHomePenalty
 	}
-	if q.c.Load || q.c.Waits { // a load holds its tables on its engine: what needs them stands still there
-		wait := 0.0
-		for _, a := range e.out { // the last one's expected time has those ahead of it in it
-			if a.q.c.Load && a.q.Tables == q.Tables {
-				wait = math.Max(wait, math.Max(a.expect-(f.now-a.sent), a.expect/4))
+	// A load holds its tables on its engine, and queries that need these wait there.
+	if q.class.IsLoad || q.class.WaitsForLoads {
+		lockWait := 0.0
+		for _, a := range e.openAttempts { // the expected time of the last load includes those ahead of it
+			if a.request.class.IsLoad && a.request.TableGroup == q.TableGroup {
+				lockWait = math.Max(lockWait, math.Max(a.expectedTime-(f.now-a.sentAt), a.expectedTime/4))
 			}
 		}
-		p += wait
-		switch { // danger: a peer's load is not seen; only what waits for it tells
-		case e.locked[q.Tables] > f.now:
-			p += f.lockWait()
-		case !q.c.Load && !f.many && slices.Contains(f.homes(q), e):
-			p += f.lockWait() * f.loadShare(q)
+		latency += lockWait
+		switch { // a load sent by a peer is not seen: only a query that waits for it shows it
+		case e.tableGroupLockedUntil[q.TableGroup] > f.now:
+			latency += f.expectedLockWait()
+		case !q.class.IsLoad && !f.manyPeers && slices.Contains(f.homeEngines(q), e):
+			latency += f.expectedLockWait() * f.lockedTimeShare(q)
 		}
 	}
-	return p
+	return latency
 }
 
-// lockWait is how long a query usually stands still behind a load.
-func (f *Front) lockWait() (span float64) {
+// expectedLockWait is how long a query usually waits behind a load, in ms.
+func (f *Scheduler) expectedLockWait() (wait float64) {
 	for _, c := range f.classList {
-		if c.Load {
-			span = math.Max(span, lockSpan*math.Max(c.light, c.work/c.Threads))
+		if c.IsLoad {
+			wait = math.Max(wait, lockWaitShare*math.Max(c.lightAnswerTime, c.meanWork/c.Threads))
 		}
 	}
-	return span
+	return wait
 }
 
-// loadShare is the part of the time that a table group is held at one of its homes, if our peers get loads as
-// we do.
-func (f *Front) loadShare(q *request) float64 {
-	g := f.group(q.Tables)
-	rate := g.loads * math.Exp((g.at-f.now)/warmFor) / warmFor * f.fronts
-	return math.Min(rate*f.lockWait()/lockSpan/float64(len(f.homes(q))), 1)
+// lockedTimeShare is the share of time that a table group is held at one of its home engines, if each peer
+// gets as many loads as this coordinator.
+func (f *Scheduler) lockedTimeShare(q *request) float64 {
+	g := f.tableGroupFor(q.TableGroup)
+	loadRate := g.loads * math.Exp((g.updatedAt-f.now)/warmPeriodMs) / warmPeriodMs * f.coordinators
+	return math.Min(loadRate*f.expectedLockWait()/lockWaitShare/float64(len(f.homeEngines(q))), 1)
 }
 
-// regain is the share of a slow attempt's length that a fresh one takes: small where plans go bad.
-func (f *Front) regain(c *class) float64 {
-	return regainFirst + (c.regain-regainFirst)*math.Exp((c.regainAt-f.now)/regainForget)
+// restartShare is the share of a slow attempt's time that a restarted one takes: small where slow attempts
+// had bad plans.
+func (f *Scheduler) restartShare(c *class) float64 {
+	return initialRestartShare +
+		(c.restartShare-initialRestartShare)*math.Exp((c.restartShareAt-f.now)/restartDecayMs)
 }
 
-// slowed is how many times longer than alone on its engine a query took, on the geometric mean of the answers
-// of the last seconds; a few say little, and none says 1.
-func (f *Front) slowed() float64 {
-	return math.Exp(f.slower.get(f.now, partSpan) / (f.answers.get(f.now, partSpan) + 1))
+// meanSlowdown is how many times longer than alone on its engine a query took: the geometric mean over the
+// answers of the last seconds. It stays close to 1 while there are only a few answers, and is 1 without any.
+func (f *Scheduler) meanSlowdown() float64 {
+	return math.Exp(f.slowdownLogs.valueAt(f.now, threadAverageMs) /
+		(f.slowdownAnswers.valueAt(f.now, threadAverageMs) + 1))
 }
--- a/choice/random_test.go
+++ b/choice/random_test.go
@@ -8,175 +8,183 @@
 	"testing"
 )
 
-// TestRandom plays seeded random legal events and asserts the rules and that equal runs act alike.
-func TestRandom(t *testing.T) {
+// TestRandomEventsKeepRules plays random legal events with fixed seeds, checks every action against the rules, and
+// checks that two runs with the same seed give the same actions.
+func TestRandomEventsKeepRules(t *testing.T) {
 	for seed := int64(1); seed <= 40; seed++ {
-		a, b := play(t, seed), play(t, seed)
+		a, b := runRandomEvents(t, seed), runRandomEvents(t, seed)
 		if !reflect.DeepEqual(a, b) {
-			t.Fatalf("seed %d: two equal runs differ", seed)
+			t.Fatalf("seed %d: two runs with this seed gave different actions", seed)
 		}
 	}
 }
 
-func play(t *testing.T, seed int64) []Action {
+// runRandomEvents plays one run, fails the test at the first action that breaks a rule, and returns all actions.
+func runRandomEvents(t *testing.T, seed int64) []Action {
 	rng := rand.New(rand.NewSource(seed))
-	s := base()
-	s.Seed, s.Fronts, s.MaxAttempts = seed, 1+rng.Intn(4), 1+rng.Intn(4)
-	s.CanProbe, s.TwoAttempts, s.CanCancel = rng.Intn(2) == 0, rng.Intn(2) == 0, rng.Intn(3) > 0
-	s.OrderSettle, s.NotePeriod = float64(rng.Intn(3))*200, float64(rng.Intn(3))*500
-	s.Rationed, s.RationFree, s.RationShare, s.RationWindow = rng.Intn(2) == 0, 2, 0.1, 5000
-	r := &rig{t: t, f: New(s, 1000), now: 1000}
-	type out struct {
-		id, engine string
-		n          int
-		at, due    float64
-		cancelled  bool
+	s := testSettings()
+	s.Seed, s.CoordinatorCount, s.MaxAttempts = seed, 1+rng.Intn(4), 1+rng.Intn(4)
+	s.CanProbe, s.ParallelAttempts, s.CanCancel = rng.Intn(2) == 0, rng.Intn(2) == 0, rng.Intn(3) > 0
+	s.OrderSettleTime, s.NoticePeriod = float64(rng.Intn(3))*200, float64(rng.Intn(3))*500
+	s.HasRetryRation, s.RetryRationFree, s.RetryRationShare, s.RetryRationWindow = rng.Intn(2) == 0, 2, 0.1, 5000
+	h := &harness{t: t, scheduler: New(s, 1000), now: 1000}
+	type sentAttempt struct {
+		id, engine     string
+		number         int
+		sentAt, endsAt float64
+		cancelled      bool
 	}
-	type state struct {
+	type requestState struct {
 		Request
-		c     Class
-		sends int
-		over  bool
-		out   int
-		ran   bool
-		ranAt float64
-		ranOn string
+		class       Class
+		sends       int
+		finished    bool
+		attemptsOut int
+		mayHaveRun  bool
+		mayRunSince float64
+		mayRunOn    string
 	}
-	reqs, keyRest := map[string]*state{}, map[string]float64{}
-	var order []*state
-	var outs []out
-	healthy := map[string]Engine{}
-	var all []Action
-	var further, taken []float64
-	for n := 0; n < 700; n++ {
-		r.now += float64(rng.Intn(30))
-		var ev []Event
-		if n%50 == 0 {
+	requests, keyRestsUntil := map[string]*requestState{}, map[string]float64{}
+	var arrivals []*requestState
+	var attemptsOut []sentAttempt
+	engines := map[string]Engine{}
+	var allActions []Action
+	var furtherSends, requestsTaken []float64
+	for turn := 0; turn < 700; turn++ {
+		h.now += float64(rng.Intn(30))
+		var events []Event
+		if turn%50 == 0 {
 			id := fmt.Sprint("e", rng.Intn(6))
-			e := Engine{ID: id, Zone: []string{"a", "b"}[rng.Intn(2)], Kind: "k8", Cell: rng.Intn(2), Status: Status(rng.Intn(5) / 3)}
-			if old, ok := healthy[id]; ok {
+			e := Engine{ID: id, Zone: []string{"a", "b"}[rng.Intn(2)], Kind: "k8",
+				Cell: rng.Intn(2), Status: Status(rng.Intn(5) / 3)}
+			if old, ok := engines[id]; ok {
 				e.Zone, e.Cell = old.Zone, old.Cell
 			}
 			if rng.Intn(2) == 0 {
-				e.Started = r.now
+				e.StartedAt = h.now
 			}
-			healthy[id] = e
-			ev = append(ev, EngineList{Engines: []Engine{e}})
+			engines[id] = e
+			events = append(events, EngineList{Engines: []Engine{e}})
 		}
-		if n < 500 {
+		if turn < 500 {
 			for i := rng.Intn(3); i > 0; i-- {
 				c := s.Classes[rng.Intn(len(s.Classes))]
-				q := &state{Request: Request{ID: fmt.Sprintf("q%d.%d", n, i), Class: c.Name, Tables: fmt.Sprint(rng.Intn(5)),
-					Deadline: r.now + c.Limit*rng.Float64()}, c: c}
+				q := &requestState{Request: Request{ID: fmt.Sprintf("q%d.%d", turn, i), Class: c.Name,
+					TableGroup: fmt.Sprint(rng.Intn(5)), Deadline: h.now + c.ClientTimeout*rng.Float64()}, class: c}
 				if c.InOrder {
-					q.Key = fmt.Sprint("k", rng.Intn(2))
+					q.OrderKey = fmt.Sprint("k", rng.Intn(2))
 				}
-				reqs[q.ID] = q
-				order = append(order, q)
-				taken = append(taken, r.now)
-				ev = append(ev, q.Request)
+				requests[q.ID] = q
+				arrivals = append(arrivals, q)
+				requestsTaken = append(requestsTaken, h.now)
+				events = append(events, q.Request)
 			}
 		}
-		var left []out
-		for _, o := range outs {
-			q := reqs[o.id]
-			res := OK
+		var stillOut []sentAttempt
+		for _, o := range attemptsOut {
+			q := requests[o.id]
+			result := OK
 			switch k := rng.Intn(12); {
 			case o.cancelled:
-				res = Cancelled
-			case r.now >= q.Deadline:
-				res = Timeout
-			case r.now < o.due:
-				left = append(left, o)
+				result = Cancelled
+			case h.now >= q.Deadline:
+				result = Timeout
+			case h.now < o.endsAt:
+				stillOut = append(stillOut, o)
 				continue
 			case k < 3:
-				res = []Result{Full, ConnectFailed, Error, Reset}[rng.Intn(4)]
+				result = []Result{Full, ConnectFailed, Error, Reset}[rng.Intn(4)]
 			}
-			q.out--
-			if res > Moot && res != OK && !q.ran {
-				q.ran, q.ranAt, q.ranOn = true, o.at, o.engine
+			q.attemptsOut--
+			if result > NotRun && result != OK && !q.mayHaveRun {
+				q.mayHaveRun, q.mayRunSince, q.mayRunOn = true, o.sentAt, o.engine
 			}
-			if q.Key != "" && (res == Timeout || res == Reset || res == Cancelled) {
-				keyRest[q.Key] = math.Max(keyRest[q.Key], r.now+s.OrderSettle)
+			if q.OrderKey != "" && (result == Timeout || result == Reset || result == Cancelled) {
+				keyRestsUntil[q.OrderKey] = math.Max(keyRestsUntil[q.OrderKey], h.now+s.OrderSettleTime)
 			}
-			q.over = q.over || res == OK
-			ev = append(ev, Outcome{Request: o.id, Attempt: o.n, Engine: o.engine, Result: res, Took: r.now - o.at, Ended: q.over})
+			q.finished = q.finished || result == OK
+			events = append(events, Outcome{Request: o.id, Attempt: o.number, Engine: o.engine, Result: result,
+				Duration: h.now - o.sentAt, RequestEnded: q.finished})
 		}
-		outs = left
-		acts := r.step(0, append(ev, Timer{"check"})...)
-		all = append(all, acts...)
-		for _, a := range acts {
+		attemptsOut = stillOut
+		actions := h.step(0, append(events, Timer{"check"})...)
+		allActions = append(allActions, actions...)
+		for _, a := range actions {
 			switch a := a.(type) {
 			case Send:
-				q, e := reqs[a.Request], healthy[a.Engine]
-				bad := func(why string) { t.Fatalf("seed %d at %v: %s: %+v to %+v", seed, r.now, why, q, e) }
+				q, e := requests[a.Request], engines[a.Engine]
+				violation := func(why string) { t.Fatalf("seed %d at %v: %s: %+v to %+v", seed, h.now, why, q, e) }
 				switch {
-				case q.over:
-					bad("sent after its end")
+				case q.finished:
+					violation("sent after the request had ended")
 				case e.Status != Healthy:
-					bad("drain")
-				case q.out > 0 && !s.TwoAttempts:
-					bad("two attempts out")
-				case q.ran && q.c.Effect == Unsafe:
-					bad("unsafe repeat")
-				case q.ran && q.c.Effect == Keyed && (healthy[q.ranOn].Cell != e.Cell || r.now > q.ranAt+q.c.Window):
-					bad("keyed repeat")
-				case len(q.c.Zones) > 0 && e.Zone != "b":
-					bad("placement")
+					violation("sent to an engine that is draining or removed")
+				case q.attemptsOut > 0 && !s.ParallelAttempts:
+					violation("second attempt while one is out")
+				case q.mayHaveRun && q.class.Idempotency == AtMostOnce:
+					violation("unsafe request repeated")
+				case q.mayHaveRun && q.class.Idempotency == Deduplicated &&
+					(engines[q.mayRunOn].Cell != e.Cell || h.now > q.mayRunSince+q.class.DedupWindow):
+					violation("keyed request repeated outside its cell or window")
+				case len(q.class.Zones) > 0 && e.Zone != "b":
+					violation("sent to a zone that its class does not allow")
 				case q.sends >= s.MaxAttempts:
-					bad("too many attempts")
+					violation("more attempts than allowed")
 				}
-				if q.Key != "" {
-					for _, p := range order {
+				if q.OrderKey != "" {
+					for _, p := range arrivals {
 						if p == q {
 							break
 						}
-						if p.Key == q.Key && (!p.over || p.out > 0) {
-							bad("out of order")
+						if p.OrderKey == q.OrderKey && (!p.finished || p.attemptsOut > 0) {
+							violation("sent before an earlier request of its order key ended")
 						}
 					}
-					if r.now < keyRest[q.Key] {
-						bad("key not settled")
+					if h.now < keyRestsUntil[q.OrderKey] {
+						violation("sent while its order key rests")
 					}
 				}
 				if q.sends > 0 {
-					further = append(further, r.now)
-					if k := since(further, r.now-5000); s.Rationed && k > 2+0.1*since(taken, r.now-5000) {
-						bad("ration")
+					furtherSends = append(furtherSends, h.now)
+					if k := countSince(furtherSends, h.now-5000); s.HasRetryRation && k > 2+0.1*countSince(requestsTaken, h.now-5000) {
+						violation("more further attempts than the retry ration allows")
 					}
 				}
-				q.out++
-				outs = append(outs, out{id: a.Request, engine: a.Engine, n: q.sends, at: r.now, due: r.now + rng.ExpFloat64()*300})
+				q.attemptsOut++
+				attemptsOut = append(attemptsOut, sentAttempt{id: a.Request, engine: a.Engine, number: q.sends,
+					sentAt: h.now, endsAt: h.now + rng.ExpFloat64()*300})
 				q.sends++
 			case Cancel:
-				for i := range outs {
-					if outs[i].id == a.Request && outs[i].n == a.Attempt {
-						outs[i].cancelled = true
+				for i := range attemptsOut {
+					if attemptsOut[i].id == a.Request && attemptsOut[i].number == a.Attempt {
+						attemptsOut[i].cancelled = true
 					}
 				}
 			case Refuse:
-				q := reqs[a.Request]
-				if q.over || q.c.Effect == Unsafe && (q.ran || q.out > 0) || q.c.Effect == Keyed && (q.ran || q.out > 0) {
-					t.Fatalf("seed %d: wrong refusal of %+v", seed, q)
+				q := requests[a.Request]
+				if q.finished || q.class.Idempotency == AtMostOnce && (q.mayHaveRun || q.attemptsOut > 0) ||
+					q.class.Idempotency == Deduplicated && (q.mayHaveRun || q.attemptsOut > 0) {
+					t.Fatalf("seed %d: refused though it ended or may have run: %+v", seed, q)
 				}
-				q.over = true
+				q.finished = true
 			case Fail:
-				if reqs[a.Request].over {
-					t.Fatalf("seed %d: second answer", seed)
+				if requests[a.Request].finished {
+					t.Fatalf("seed %d: second final answer", seed)
 				}
-				reqs[a.Request].over = true
+				requests[a.Request].finished = true
 			}
 		}
-		for _, q := range order {
-			if !q.over && r.now > q.Deadline+50 {
-				t.Fatalf("seed %d at %v: no answer for %+v", seed, r.now, q)
+		for _, q := range arrivals {
+			if !q.finished && h.now > q.Deadline+50 {
+				t.Fatalf("seed %d at %v: no answer within 50 ms of the deadline: %+v", seed, h.now, q)
 			}
 		}
 	}
-	return all
+	return allActions
 }
 
-func since(at []float64, from float64) (n float64) {
+// countSince counts the times that are later than from.
+func countSince(at []float64, from float64) (n float64) {
 	for _, x := range at {
 		if x > from {
 			n++
--- a/choice/reason.go
+++ b/choice/reason.go
@@ -1,24 +1,25 @@
 package choice
 
-// Reason says why a request was given up. It is for logs and metrics; nothing is decided by it.
+// Reason says why a request was refused or failed. It is for logs and metrics only.
 type Reason uint8
 
-// The reasons.
+// The values of Reason.
 const (
 	ReasonDeadline   Reason = iota // its deadline is too close for another attempt
-	ReasonAttempts                 // it has had all attempts that a request may have
-	ReasonMayHaveRun               // it may have run, and must not be sent again
-	ReasonFaulty                   // an engine rejected it, or it failed on several
-	ReasonCapacity                 // no engine has room before it is too late
-	ReasonPlaces                   // other requests earn more in its place
-	ReasonShutdown                 // the program ends
-	reasons
+	ReasonAttempts                 // it has had the maximum number of attempts
+	ReasonMayHaveRun               // it may have run and must not be sent again
+	ReasonFaulty                   // an engine rejected it, or it failed on several engines
+	ReasonCapacity                 // no engine has room for it in time
+	ReasonSlots                    // its slot is worth more to other requests
+	ReasonShutdown                 // the coordinator shuts down
+	reasonCount
 )
 
-var reasonNames = [reasons]string{"deadline", "attempts", "may-have-run", "faulty", "capacity", "places", "shutdown"}
+var reasonNames = [reasonCount]string{"deadline", "attempts", "may-have-run", "faulty", "capacity", "places", "shutdown"}
 
+// String returns the name of the reason in logs and metrics.
 func (r Reason) String() string {
-	if r >= reasons {
+	if r >= reasonCount {
 		return "unknown"
 	}
 	return reasonNames[r]
--- a/choice/rig_test.go
+++ b/choice/rig_test.go
@@ -4,94 +4,102 @@
 	"testing"
 )
 
-// rig drives a Front by hand.
-type rig struct {
-	t   *testing.T
-	f   *Front
-	now float64
+// harness drives one scheduler step by step, with the time set by the test.
+type harness struct {
+	t         *testing.T
+	scheduler *Scheduler
+	now       float64
 }
 
-func base() Settings {
-	return Settings{Seed: 1, Fronts: 1, Zone: "a", MaxAttempts: 4, CanCancel: true, CanAdvise: true, MaxAdvice: 1000,
+// testSettings are the settings of a single coordinator, with one class of each kind that the tests need.
+func testSettings() Settings {
+	return Settings{Seed: 1, CoordinatorCount: 1, Zone: "a", MaxAttempts: 4, CanCancel: true, CanAdviseRetry: true, MaxRetryAfter: 1000,
 		Kinds: []Kind{{"k8", 8, 16384}},
 		Classes: []Class{
-			{Name: "quick", Worth: 1, Aim: 400, Limit: 2000, Threads: 1},
-			{Name: "wide", Worth: 8, Aim: 3000, AimStretch: 2, Limit: 25000, Threads: 3},
-			{Name: "load", Worth: 5, Aim: 4000, Limit: 20000, Threads: 2, Effect: Unsafe, InOrder: true, Load: true},
-			{Name: "keyed", Worth: 1, Aim: 4000, Limit: 20000, Threads: 1, Effect: Keyed, Group: GroupCell, Window: 5000},
-			{Name: "tied", Worth: 1, Aim: 4000, Limit: 20000, Threads: 1, Zones: []string{"b"}, Kinds: []string{"k8"}},
+			{Name: "quick", Value: 1, LatencyTarget: 400, ClientTimeout: 2000, Threads: 1},
+			{Name: "wide", Value: 8, LatencyTarget: 3000, TargetStretch: 2, ClientTimeout: 25000, Threads: 3},
+			{Name: "load", Value: 5, LatencyTarget: 4000, ClientTimeout: 20000, Threads: 2, Idempotency: AtMostOnce, InOrder: true, IsLoad: true},
+			{Name: "keyed", Value: 1, LatencyTarget: 4000, ClientTimeout: 20000, Threads: 1, Idempotency: Deduplicated, DedupScope: DedupInCell, DedupWindow: 5000},
+			{Name: "tied", Value: 1, LatencyTarget: 4000, ClientTimeout: 20000, Threads: 1, Zones: []string{"b"}, Kinds: []string{"k8"}},
 		},
-		DrainGrace: 250, FallMultiple: 3, FallFor: 1500, ColdFrom: 0.35, WarmAfter: 12000, AskEvery: 10000}
+		DrainGrace: 250, OverloadMultiple: 3, OverloadWindow: 1500, ColdCapacityShare: 0.35, WarmUpTime: 12000, SubscribePeriod: 10000}
 }
 
-func newRig(t *testing.T, s Settings, engines ...Engine) *rig {
-	r := &rig{t: t, f: New(s, 1000), now: 1000}
+// newHarness returns a harness whose scheduler knows the given engines.
+func newHarness(t *testing.T, s Settings, engines ...Engine) *harness {
+	h := &harness{t: t, scheduler: New(s, 1000), now: 1000}
 	if len(engines) > 0 {
-		r.step(0, EngineList{Whole: true, Engines: engines})
+		h.step(0, EngineList{Complete: true, Engines: engines})
 	}
-	return r
+	return h
 }
 
-func eng(id string) Engine { return Engine{ID: id, Zone: "a", Kind: "k8", Size: 1} }
+// testEngine returns a listed engine with 8 cores in the coordinator's zone.
+func testEngine(id string) Engine { return Engine{ID: id, Zone: "a", Kind: "k8", Size: 1} }
 
-// step moves time on and lets events happen.
-func (r *rig) step(ms float64, ev ...Event) []Action {
-	r.now += ms
-	return r.f.Step(r.now, ev)
+// step advances the time by elapsed ms, then passes the events to the scheduler.
+func (h *harness) step(elapsed float64, events ...Event) []Action {
+	h.now += elapsed
+	return h.scheduler.Step(h.now, events)
 }
 
-func req(id, class string, r *rig) Request {
-	limit := 2000.0
-	for _, c := range r.f.s.Classes {
+// testRequest returns a request whose deadline is its class's client timeout from now.
+func testRequest(id, class string, h *harness) Request {
+	timeout := 2000.0
+	for _, c := range h.scheduler.settings.Classes {
 		if c.Name == class {
-			limit = c.Limit
+			timeout = c.ClientTimeout
 		}
 	}
-	return Request{ID: id, Class: class, Deadline: r.now + limit, Tables: "7"}
+	return Request{ID: id, Class: class, Deadline: h.now + timeout, TableGroup: "7"}
 }
 
-func sends(acts []Action) (s []Send) {
-	for _, a := range acts {
+// sendActions returns the sends among the actions.
+func sendActions(actions []Action) (list []Send) {
+	for _, a := range actions {
 		if x, ok := a.(Send); ok {
-			s = append(s, x)
+			list = append(list, x)
 		}
 	}
-	return s
+	return list
 }
 
-func finals(acts []Action) (s []string) {
-	for _, a := range acts {
+// finalAnswers returns the final answers among the actions, as "refuse ID" or "fail ID".
+func finalAnswers(actions []Action) (answers []string) {
+	for _, a := range actions {
 		switch x := a.(type) {
 		case Refuse:
-			s = append(s, "refuse "+x.Request)
+			answers = append(answers, "refuse "+x.Request)
 		case Fail:
-			s = append(s, "fail "+x.Request)
+			answers = append(answers, "fail "+x.Request)
 		}
 	}
-	return s
+	return answers
 }
 
-func (r *rig) one(acts []Action) Send {
-	r.t.Helper()
-	s := sends(acts)
-	if len(s) != 1 {
-		r.t.Fatalf("want one send, got %v", acts)
+// requireOneSend fails the test unless exactly one of the actions is a send, and returns it.
+func (h *harness) requireOneSend(actions []Action) Send {
+	h.t.Helper()
+	list := sendActions(actions)
+	if len(list) != 1 {
+		h.t.Fatalf("want one send, got %v", actions)
 	}
-	return s[0]
+	return list[0]
 }
 
-func (r *rig) none(acts []Action) {
-	r.t.Helper()
-	if s := sends(acts); len(s) > 0 {
-		r.t.Fatalf("want no send, got %v", s)
+// requireNoSend fails the test if one of the actions is a send.
+func (h *harness) requireNoSend(actions []Action) {
+	h.t.Helper()
+	if list := sendActions(actions); len(list) > 0 {
+		h.t.Fatalf("want no send, got %v", list)
 	}
 }
 
-// warmUp lets an engine serve a table group until warm is learned to be fast and cold slow.
-func (r *rig) warmUp(e, tables string, warm, cold float64) {
-	x := r.f.byID[e]
-	x.tables[tables] = r.now
-	for _, y := range r.f.engines {
-		y.warm, y.cold = factor{warm, 9, r.now}, factor{cold, 9, r.now}
+// setWarmEngine makes an engine warm for a table group, and sets the learned warm and cold factors of all engines.
+func (h *harness) setWarmEngine(id, tables string, warmFactor, coldFactor float64) {
+	warmed := h.scheduler.engineByID[id]
+	warmed.tableGroupSentAt[tables] = h.now
+	for _, each := range h.scheduler.engines {
+		each.warmFactor, each.coldFactor = learnedFactor{warmFactor, 9, h.now}, learnedFactor{coldFactor, 9, h.now}
 	}
 }
--- a/choice/rules_test.go
+++ b/choice/rules_test.go
@@ -5,180 +5,186 @@
 	"testing"
 )
 
-// Rule: drains. A draining or absent engine gets nothing.
-func TestDrain(t *testing.T) {
-	r := newRig(t, base(), eng("e1"))
-	d := eng("e1")
-	d.Status = Draining
-	r.none(r.step(1, EngineList{Engines: []Engine{d}}, req("a", "quick", r)))
-	r.step(1, EngineList{Whole: true})
-	r.none(r.step(1, req("b", "quick", r)))
+// Drain rule: an engine that is draining or no longer listed gets no request.
+func TestNothingSentToDrainingOrRemovedEngine(t *testing.T) {
+	h := newHarness(t, testSettings(), testEngine("e1"))
+	draining := testEngine("e1")
+	draining.Status = Draining
+	h.requireNoSend(h.step(1, EngineList{Engines: []Engine{draining}}, testRequest("a", "quick", h)))
+	h.step(1, EngineList{Complete: true})
+	h.requireNoSend(h.step(1, testRequest("b", "quick", h)))
 }
 
-// Rule: effects. A load that may have run is failed, never resent or refused; one that never ran is resent.
-func TestUnsafe(t *testing.T) {
+// Effect rule: an unsafe request that may have run is failed, never sent again or refused, since a second run would repeat
+// its effect. One that certainly did not run is sent again.
+func TestUnsafeRequestThatMayHaveRunIsFailed(t *testing.T) {
 	for _, c := range []struct {
 		res  Result
 		want string
 	}{{Timeout, "fail a"}, {Reset, "fail a"}, {Error, "fail a"}, {Cancelled, "fail a"}, {Full, ""}, {ConnectFailed, ""}} {
-		r := newRig(t, base(), eng("e1"), eng("e2"))
-		s := r.one(r.step(1, req("a", "load", r)))
-		acts := r.step(50, Outcome{Request: "a", Engine: s.Engine, Result: c.res})
+		h := newHarness(t, testSettings(), testEngine("e1"), testEngine("e2"))
+		s := h.requireOneSend(h.step(1, testRequest("a", "load", h)))
+		actions := h.step(50, Outcome{Request: "a", Engine: s.Engine, Result: c.res})
 		if c.want == "" {
-			if got := r.one(acts); got.Request != "a" {
-				t.Errorf("%v: %v", c.res, acts)
+			if got := h.requireOneSend(actions); got.Request != "a" {
+				t.Errorf("result %v: sent %v, want a", c.res, actions)
 			}
 			continue
 		}
-		if got := finals(acts); len(got) != 1 || got[0] != c.want || len(sends(acts)) > 0 {
-			t.Errorf("result %v: %v", c.res, acts)
+		if got := finalAnswers(actions); len(got) != 1 || got[0] != c.want || len(sendActions(actions)) > 0 {
+			t.Errorf("result %v: got %v, want only a failure", c.res, actions)
 		}
 	}
 }
 
-// Rule: effects. Whatever path leads to it, send refuses a second attempt at once, and a repeat of a load.
-func TestSendGuards(t *testing.T) {
-	r := newRig(t, base(), eng("e1"), eng("e2"))
-	r.step(1, req("a", "quick", r), req("b", "load", r))
-	a, b := r.f.requests["a"], r.f.requests["b"]
-	if r.f.send(a, r.f.engines[1], 1) {
-		t.Error("two attempts out")
-	}
-	b.out, b.mayRun = nil, r.f.engines[0]
-	if r.f.send(b, r.f.engines[1], 1) {
+// Effect rule: whichever decision leads to it, send itself must refuse a second attempt while one is out, and a repeat of a
+// load that may have run.
+func TestSendEnforcesEffectRules(t *testing.T) {
+	h := newHarness(t, testSettings(), testEngine("e1"), testEngine("e2"))
+	h.step(1, testRequest("a", "quick", h), testRequest("b", "load", h))
+	a, b := h.scheduler.requests["a"], h.scheduler.requests["b"]
+	if h.scheduler.send(a, h.scheduler.engines[1], 1) {
+		t.Error("sent a second attempt while one is out")
+	}
+	b.openAttempts, b.mayHaveRunOn = nil, h.scheduler.engines[0]
+	if h.scheduler.send(b, h.scheduler.engines[1], 1) {
 		t.Error("a load that may have run was sent again")
 	}
 }
 
-// Rule: effects. A keyed request that may have run goes only to its cell, and only within the window.
-func TestKeyed(t *testing.T) {
-	e2, e3 := eng("e2"), eng("e3")
+// Effect rule: repeats of a keyed request are recognized only in the cell of its first attempt and within the window. One that
+// may have run goes nowhere else, and is failed after the window.
+func TestKeyedRepeatStaysInCellAndWindow(t *testing.T) {
+	e2, e3 := testEngine("e2"), testEngine("e3")
 	e2.Cell, e3.Cell = 1, 1
-	r := newRig(t, base(), eng("e1"), e2, e3)
-	first := r.one(r.step(1, req("a", "keyed", r)))
-	cell := r.f.byID[first.Engine].Cell
-	acts := r.step(50, Outcome{Request: "a", Engine: first.Engine, Result: Error})
-	if got := r.one(acts); r.f.byID[got.Engine].Cell != cell {
+	h := newHarness(t, testSettings(), testEngine("e1"), e2, e3)
+	first := h.requireOneSend(h.step(1, testRequest("a", "keyed", h)))
+	cell := h.scheduler.engineByID[first.Engine].Cell
+	actions := h.step(50, Outcome{Request: "a", Engine: first.Engine, Result: Error})
+	if got := h.requireOneSend(actions); h.scheduler.engineByID[got.Engine].Cell != cell {
 		t.Fatalf("sent out of its cell: %v", got)
 	}
-	acts = r.step(6000, Outcome{Request: "a", Attempt: 1, Engine: first.Engine, Result: Error})
-	r.none(acts)
-	if got := finals(acts); len(got) != 1 || got[0] != "fail a" {
+	actions = h.step(6000, Outcome{Request: "a", Attempt: 1, Engine: first.Engine, Result: Error})
+	h.requireNoSend(actions)
+	if got := finalAnswers(actions); len(got) != 1 || got[0] != "fail a" {
 		t.Fatal(got)
 	}
 }
 
-// Rule: order. Loads of one key go one at a time, and rest after an attempt that may still run.
-func TestOrder(t *testing.T) {
-	s := base()
-	s.OrderSettle = 300
-	r := newRig(t, s, eng("e1"), eng("e2"))
-	a, b := req("a", "load", r), req("b", "load", r)
-	a.Key, b.Key = "k", "k"
-	first := r.one(r.step(1, a, b))
+// Order rule: loads of one order key run one at a time, in the order in which they arrived. After an attempt that may still
+// run, the key rests before the next one is sent.
+func TestLoadsOfOneKeyRunOneAtATime(t *testing.T) {
+	s := testSettings()
+	s.OrderSettleTime = 300
+	h := newHarness(t, s, testEngine("e1"), testEngine("e2"))
+	a, b := testRequest("a", "load", h), testRequest("b", "load", h)
+	a.OrderKey, b.OrderKey = "k", "k"
+	first := h.requireOneSend(h.step(1, a, b))
 	if first.Request != "a" {
-		t.Fatalf("out of turn: %v", first)
+		t.Fatalf("want a sent first, got %v", first)
 	}
-	r.none(r.step(50, Outcome{Request: "a", Engine: first.Engine, Result: Timeout}))
-	r.none(r.step(200, Timer{"check"}))
-	if got := r.one(r.step(201, Timer{"check"})); got.Request != "b" {
+	h.requireNoSend(h.step(50, Outcome{Request: "a", Engine: first.Engine, Result: Timeout}))
+	h.requireNoSend(h.step(200, Timer{"check"}))
+	if got := h.requireOneSend(h.step(201, Timer{"check"})); got.Request != "b" {
 		t.Fatal(got)
 	}
 }
 
-// Rule: placement.
-func TestPlacement(t *testing.T) {
-	r := newRig(t, base(), eng("e1"), Engine{ID: "e2", Zone: "b", Kind: "other"})
-	r.none(r.step(1, req("a", "tied", r)))
-	if got := r.one(r.step(1, EngineList{Engines: []Engine{{ID: "e3", Zone: "b", Kind: "k8"}}})); got.Engine != "e3" {
+// Placement rule: a class that is tied to zones and kinds of engine is sent only to engines that match both.
+func TestClassRunsOnlyInItsZonesAndKinds(t *testing.T) {
+	h := newHarness(t, testSettings(), testEngine("e1"), Engine{ID: "e2", Zone: "b", Kind: "other"})
+	h.requireNoSend(h.step(1, testRequest("a", "tied", h)))
+	if got := h.requireOneSend(h.step(1, EngineList{Engines: []Engine{{ID: "e3", Zone: "b", Kind: "k8"}}})); got.Engine != "e3" {
 		t.Fatal(got)
 	}
 }
 
-// Rule: ration. Further attempts past the ration wait or end, even when nothing else speaks against them.
-func TestRation(t *testing.T) {
-	s := base()
-	s.Rationed, s.RationFree, s.RationShare, s.RationWindow = true, 2, 0, 5000
-	r := newRig(t, s, eng("e1"), eng("e2"))
+// Retry ration: further attempts beyond the ration are not sent, even if every other rule allows them. Otherwise failing
+// engines would cause a retry storm.
+func TestRetryRationLimitsFurtherAttempts(t *testing.T) {
+	s := testSettings()
+	s.HasRetryRation, s.RetryRationFree, s.RetryRationShare, s.RetryRationWindow = true, 2, 0, 5000
+	h := newHarness(t, s, testEngine("e1"), testEngine("e2"))
 	n := 0
 	for i := 0; i < 10; i++ {
 		id := fmt.Sprint("r", i)
-		got := r.one(r.step(10, req(id, "quick", r)))
-		n += len(sends(r.step(10, Outcome{Request: id, Engine: got.Engine, Result: Error},
+		got := h.requireOneSend(h.step(10, testRequest(id, "quick", h)))
+		n += len(sendActions(h.step(10, Outcome{Request: id, Engine: got.Engine, Result: Error},
 			Outcome{Request: "x", Engine: got.Engine, Result: OK})))
-		r.f.byID[got.Engine].errors, r.f.byID[got.Engine].ills = 0, nil
+		h.scheduler.engineByID[got.Engine].errorsInRow, h.scheduler.engineByID[got.Engine].healthByClass = 0, nil
 	}
 	if n != 2 {
 		t.Fatalf("%d further attempts, want 2", n)
 	}
 }
 
-// Rule: cold engines. What is sent to an engine just started stays under this front's part of its budget.
-func TestColdBudget(t *testing.T) {
-	s := base()
-	s.Kinds[0].Cores = 64 // so that the room test does not bind
-	e := eng("e1")
-	e.Started = 999
-	r := newRig(t, s, e)
+// Cold engine rule: the work sent to an engine that has just started stays under its budget, or the engine falls over.
+func TestColdEngineStaysUnderBudget(t *testing.T) {
+	s := testSettings()
+	s.Kinds[0].Cores = 64 // so that the room test limits nothing
+	e := testEngine("e1")
+	e.StartedAt = 999
+	h := newHarness(t, s, e)
 	work := 0.0
-	for i := 0; i < 100; i++ { // answered at once, so that the room test does not bind
-		for _, x := range sends(r.step(1, req(fmt.Sprint("r", i), "wide", r))) {
+	for i := 0; i < 100; i++ { // answered at once, so that the room test limits nothing
+		for _, x := range sendActions(h.step(1, testRequest(fmt.Sprint("r", i), "wide", h))) {
 			work += 3000
-			r.step(0, Outcome{Request: x.Request, Engine: "e1", Result: OK, Took: 1000, Work: 3000, Ended: true})
+			h.step(0, Outcome{Request: x.Request, Engine: "e1", Result: OK, Duration: 1000, Work: 3000, RequestEnded: true})
 		}
 	}
-	if most := s.FallMultiple * s.ColdFrom * 64 * s.FallFor; work == 0 || work > 0.9*most {
-		t.Fatalf("sent %v ms of work, budget %v", work, most)
+	if budget := s.OverloadMultiple * s.ColdCapacityShare * 64 * s.OverloadWindow; work == 0 || work > 0.9*budget {
+		t.Fatalf("sent %v ms of work, want some, and at most 0.9 of the budget of %v", work, budget)
 	}
 }
 
-// Loads of one table group run one after another: the wait behind two of them is that behind the last, whose
-// expected time has the first one's in it.
-func TestLoadsInLine(t *testing.T) {
-	r := newRig(t, base(), eng("e1"))
-	e, q := r.f.engines[0], &request{Request: req("q", "load", r), c: r.f.classes["load"]}
-	alone := r.f.predict(e, q, false)
+// Loads of one table group run one after another, and the expected time of each includes those ahead of it. The wait behind
+// two of them is therefore the time of the last, not the sum.
+func TestWaitBehindQueuedLoads(t *testing.T) {
+	h := newHarness(t, testSettings(), testEngine("e1"))
+	e, q := h.scheduler.engines[0], &request{Request: testRequest("q", "load", h), class: h.scheduler.classes["load"]}
+	alone := h.scheduler.predictLatency(e, q, false)
 	for i, expect := range []float64{1000, 2000} {
-		e.out = append(e.out, &attempt{q: &request{Request: Request{Tables: "7"}, c: q.c}, e: e, n: i, sent: r.now, expect: expect})
+		e.openAttempts = append(e.openAttempts,
+			&attempt{request: &request{Request: Request{TableGroup: "7"}, class: q.class}, engine: e, number: i, sentAt: h.now, expectedTime: expect})
 	}
-	e.heard = r.now
-	if got := r.f.predict(e, q, false) - alone; got != 2000 {
-		t.Errorf("the wait behind loads of 1000 and 2000 ms is %.0f", got)
+	e.lastHeardAt = h.now
+	if got := h.scheduler.predictLatency(e, q, false) - alone; got != 2000 {
+		t.Errorf("the wait behind loads expected to take 1000 and 2000 ms is %.0f ms, want 2000", got)
 	}
 }
 
-// A request marked Once is not sent again once it may have run, is never moved by us, and its failure makes no promise,
-// whatever its class allows; turned away unseen, it goes out again.
-func TestOnce(t *testing.T) {
+// A request marked Once must not run twice, whatever its class allows. Once it may have run it is neither sent again nor
+// refused, and an attempt of it is never cancelled to move it. If the engine did not start it, it is sent again.
+func TestOnceRequestIsNotRepeated(t *testing.T) {
 	for _, class := range []string{"quick", "keyed"} {
 		for _, c := range []struct {
 			result Result
 			again  bool
-		}{{Full, true}, {Moot, true}, {Error, false}, {Reset, false}, {Timeout, false}, {Cancelled, false}} {
-			r := newRig(t, base(), eng("e1"), eng("e2"))
-			q := req("q", class, r)
-			q.Once = true
-			s := r.one(r.step(1, q))
-			acts := r.step(5, Outcome{Request: "q", Engine: s.Engine, Result: c.result, Took: 5})
-			for i := 0; i < 20 && len(sends(acts)) == 0 && len(finals(acts)) == 0; i++ {
-				acts = r.step(60, Timer{"check"})
+		}{{Full, true}, {NotRun, true}, {Error, false}, {Reset, false}, {Timeout, false}, {Cancelled, false}} {
+			h := newHarness(t, testSettings(), testEngine("e1"), testEngine("e2"))
+			q := testRequest("q", class, h)
+			q.AtMostOnce = true
+			s := h.requireOneSend(h.step(1, q))
+			actions := h.step(5, Outcome{Request: "q", Engine: s.Engine, Result: c.result, Duration: 5})
+			for i := 0; i < 20 && len(sendActions(actions)) == 0 && len(finalAnswers(actions)) == 0; i++ {
+				actions = h.step(60, Timer{"check"})
 			}
-			if got := len(sends(acts)) == 1; got != c.again {
-				t.Errorf("%s, %v: sent again %v", class, c.result, got)
+			if got := len(sendActions(actions)) == 1; got != c.again {
+				t.Errorf("%s, result %v: sent again is %v", class, c.result, got)
 			}
-			if f := finals(acts); !c.again && (len(f) != 1 || f[0] != "fail q") {
-				t.Errorf("%s, %v: %v", class, c.result, f)
+			if f := finalAnswers(actions); !c.again && (len(f) != 1 || f[0] != "fail q") {
+				t.Errorf("%s, result %v: want a failure, got %v", class, c.result, f)
 			}
 		}
 	}
-	r := newRig(t, base(), eng("e1"), eng("e2"))
-	q := req("q", "quick", r)
-	q.Once = true
-	r.one(r.step(1, q))
-	for range 15 { // silent for far longer than a query of its class
-		for _, a := range r.step(100, Timer{"check"}) {
+	h := newHarness(t, testSettings(), testEngine("e1"), testEngine("e2"))
+	q := testRequest("q", "quick", h)
+	q.AtMostOnce = true
+	h.requireOneSend(h.step(1, q))
+	for range 15 { // silent for far longer than its class takes
+		for _, a := range h.step(100, Timer{"check"}) {
 			if _, ok := a.(Cancel); ok {
-				t.Fatal("it is moved")
+				t.Fatal("its attempt was cancelled")
 			}
 		}
 	}
