--- a/internal/board/board.go
+++ b/internal/board/board.go
@@ -188,14 +188,14 @@
 func (w *Watch) Start() {
 	f := &feed{w: w}
 	w.cur = f
-	w.timer.Do = func() { f.lose("silent", link.Silent) }
+	w.timer.Do = func() { f.lose("silent", link.NoAnswer) }
 	w.Deadlines.Set(&w.timer, w.Now()+w.Connect)
 	w.Dialer.Dial(w.Addr, f)
 }
 
 // lose gives a connection up and asks for a new one. Danger: what the board has counts as told, connected or
 // not, so the pause stays short.
-func (f *feed) lose(why string, e link.End) {
+func (f *feed) lose(why string, e link.EndReason) {
 	if f.w.cur != f {
 		return
 	}
@@ -236,13 +236,13 @@
 		used += i + 1
 		f.w.Deadlines.Set(&f.w.timer, f.w.Now()+silence)
 		if err := f.line(line); err != nil {
-			f.lose(err.Error(), link.Garbled)
+			f.lose(err.Error(), link.Malformed)
 			return
 		}
 	}
 	f.buf = append(f.buf[:0], f.buf[used:]...)
 	if len(f.buf) > mostLine {
-		f.lose("a line without an end", link.Garbled)
+		f.lose("a line without an end", link.Malformed)
 	}
 }
 
@@ -269,4 +269,4 @@
 }
 
 // Closed comes when the connection ends by itself or did not come up.
-func (f *feed) Closed(e link.End) { f.lose("closed", e) }
+func (f *feed) Closed(e link.EndReason) { f.lose("closed", e) }
--- a/internal/chengine/fleet.go
+++ b/internal/chengine/fleet.go
@@ -62,7 +62,7 @@
 	if e, known := f.engines.Get(m.ID); known && m.Status != choice.Healthy {
 		f.withdraw(e)
 	}
-	f.engines.Know(m.ID, m.Addr, m.Status == choice.Removed, func(p directory.Place) *engine { return &engine{f: f, Place: p, kind: m.Kind} })
+	f.engines.Update(m.ID, m.Addr, m.Status == choice.Removed, func(p directory.Record) *engine { return &engine{f: f, Record: p, kind: m.Kind} })
 }
 
 // Only takes a whole list: engines that it does not name have gone.
@@ -72,7 +72,7 @@
 			f.withdraw(e)
 		}
 	}
-	f.engines.Only(named)
+	f.engines.RemoveUnlisted(named)
 }
 
 // withdraw ends the attempts that still wait for a connection to an engine: it takes nothing new.
@@ -85,7 +85,7 @@
 	}
 	slices.SortFunc(waiting, func(a, b *attempt) int { return cmp.Compare(a.query, b.query) })
 	for _, a := range waiting {
-		a.finish(link.Over)
+		a.finish(link.Expired)
 	}
 }
 
@@ -96,7 +96,7 @@
 func (f *Fleet) Probe(id string) {
 	e, _ := f.engines.Get(id)
 	sent := f.Now()
-	tell := func(a *answer, why link.End) {
+	tell := func(a *answer, why link.EndReason) {
 		p := coordinator.Outcome{Engine: id, End: why, Took: f.Now() - sent}
 		if a != nil && a.Status != 200 {
 			p.End = link.Full
@@ -104,7 +104,7 @@
 		f.Watcher.Probed(p)
 	}
 	if e == nil || e.Addr == "" {
-		tell(nil, link.Unreached)
+		tell(nil, link.Unreachable)
 		return
 	}
 	e.start(&call{build: func() []byte { return e.request("GET", "/ping", nil, "") }, within: probeWithin, most: mostControl, done: tell})
@@ -142,7 +142,7 @@
 	withdrawn bool // it was too late to write it as its connection was there
 	lost      bool // its connection broke: whether it runs is asked
 	over      bool
-	end       link.End // how it ends once it is known not to run
+	end       link.EndReason // how it ends once it is known not to run
 	outcome   coordinator.Outcome
 	budget    deadline.Entry
 	again     deadline.Entry
@@ -154,7 +154,7 @@
 	a := &attempt{Attempt: s, f: f, e: e, sent: f.Now(), query: s.ID + "-" + strconv.Itoa(s.Number)}
 	a.outcome = coordinator.Outcome{Request: a.ID, Engine: a.Engine, Attempt: a.Number}
 	if a.e == nil || a.e.Addr == "" {
-		a.finish(link.Unreached)
+		a.finish(link.Unreachable)
 		return
 	}
 	if f.attempts == nil {
@@ -165,13 +165,13 @@
 	a.budget.Do = func() {
 		switch {
 		case !a.written:
-			a.finish(link.Unreached)
+			a.finish(link.Unreachable)
 		case f.Now() >= a.Until+answerSlack: // the engine has ended it by itself
 			a.finish(a.end)
 		default: // danger: what the engine has not confirmed may still run
 			f.Watcher.Overdue(a.ID)
 			if !a.cancelled {
-				a.revoke(link.Silent)
+				a.revoke(link.NoAnswer)
 			}
 			if !a.over {
 				f.Deadlines.Set(&a.budget, a.Until+answerSlack)
@@ -241,7 +241,7 @@
 }
 
 // answered is the end of the query's own call. Only a connection that never came up proves that nothing ran.
-func (a *attempt) answered(r *answer, why link.End) {
+func (a *attempt) answered(r *answer, why link.EndReason) {
 	a.call = nil
 	switch {
 	case a.over:
@@ -250,18 +250,18 @@
 	case r != nil:
 		a.judge(r)
 	case a.withdrawn:
-		a.finish(link.Over)
-	case !a.written && (why == link.Refused || why == link.Crowded):
+		a.finish(link.Expired)
+	case !a.written && (why == link.ConnRefused || why == link.NoDescriptor):
 		a.finish(why)
 	case !a.written:
-		a.finish(link.Unreached)
+		a.finish(link.Unreachable)
 	case a.cancelled: // what asks goes on
-	case why == link.Crowded: // its result does not fit beside the others
+	case why == link.NoDescriptor: // its result does not fit beside the others
 		a.revoke(link.Failed)
-	case why == link.Garbled: // what came can't be read, and the query may run on
-		a.revoke(link.Garbled)
+	case why == link.Malformed: // what came can't be read, and the query may run on
+		a.revoke(link.Malformed)
 	default:
-		a.lost, a.end = true, link.Lost
+		a.lost, a.end = true, link.QueryLost
 		a.ask()
 	}
 }
@@ -350,36 +350,36 @@
 		if a.call != nil {
 			a.call.drop()
 		}
-		a.finish(link.GivenUp)
+		a.finish(link.Cancelled)
 	default:
-		a.revoke(link.GivenUp)
+		a.revoke(link.Cancelled)
 	}
 }
 
 // revoke has the query killed, and ends the attempt once it does not run any more.
-func (a *attempt) revoke(e link.End) {
+func (a *attempt) revoke(e link.EndReason) {
 	a.cancelled, a.end = true, e
-	a.f.Deadlines.Clear(&a.again)
+	a.f.Deadlines.Cancel(&a.again)
 	if a.control != nil {
 		a.control.drop()
 		a.control = nil
 	}
-	a.kill(func(*answer, link.End) { a.ask() })
+	a.kill(func(*answer, link.EndReason) { a.ask() })
 }
 
 // kill tells the engine to end the query, over another connection.
-func (a *attempt) kill(done func(*answer, link.End)) {
+func (a *attempt) kill(done func(*answer, link.EndReason)) {
 	if done == nil {
-		done = func(*answer, link.End) {}
+		done = func(*answer, link.EndReason) {}
 	}
 	a.ctl("KILL QUERY WHERE query_id = '"+a.query+"' ASYNC", done)
 }
 
 // ctl runs a short query about this one.
-func (a *attempt) ctl(text string, done func(*answer, link.End)) {
+func (a *attempt) ctl(text string, done func(*answer, link.EndReason)) {
 	c := &call{within: controlWithin, most: mostControl}
 	c.build = func() []byte { return a.e.request("POST", "/?default_format=TabSeparated", []byte(text), "") }
-	c.done = func(r *answer, e link.End) {
+	c.done = func(r *answer, e link.EndReason) {
 		if a.control == c {
 			a.control = nil
 		}
@@ -394,14 +394,14 @@
 	if a.over {
 		return
 	}
-	a.ctl("SELECT count() FROM system.processes WHERE query_id = '"+a.query+"'", func(r *answer, e link.End) {
+	a.ctl("SELECT count() FROM system.processes WHERE query_id = '"+a.query+"'", func(r *answer, e link.EndReason) {
 		switch {
 		case a.over:
 		case r != nil && r.Status == 200 && string(bytes.TrimSpace(r.body)) == "0":
 			a.finish(a.end)
-		case e == link.Refused && (a.e.open == 0 || a.e.Addr == ""): // its process has ended, and the query with it
-			if a.end == link.Lost {
-				a.end = link.Died
+		case e == link.ConnRefused && (a.e.open == 0 || a.e.Addr == ""): // its process has ended, and the query with it
+			if a.end == link.QueryLost {
+				a.end = link.ProcessDied
 			}
 			a.finish(a.end)
 		case r != nil && r.Status == 200 && a.lost && !a.cancelled: // it runs, and its answer can't come any more
@@ -414,14 +414,14 @@
 }
 
 // finish is the one end of an attempt.
-func (a *attempt) finish(e link.End) {
+func (a *attempt) finish(e link.EndReason) {
 	if a.over {
 		return
 	}
 	a.over = true
 	f := a.f
-	f.Deadlines.Clear(&a.budget)
-	f.Deadlines.Clear(&a.again)
+	f.Deadlines.Cancel(&a.budget)
+	f.Deadlines.Cancel(&a.again)
 	if a.call != nil {
 		a.call.drop()
 		a.call = nil
@@ -429,7 +429,7 @@
 	if k := (key{a.ID, a.Number}); f.attempts[k] == a {
 		delete(f.attempts, k)
 		a.e.attempts--
-		defer f.engines.Forget(a.e)
+		defer f.engines.RemoveIfUnused(a.e)
 	}
 	a.outcome.End = e
 	if e != link.Served {
--- a/internal/chengine/pool.go
+++ b/internal/chengine/pool.go
@@ -24,14 +24,14 @@
 	most     int           // bytes of the answer's body
 	written  bool
 	progress func(value string) // of an answer whose head is not whole yet; may be nil
-	done     func(a *answer, e link.End)
+	done     func(a *answer, e link.EndReason)
 	wire     *wire
 	timer    deadline.Entry
 }
 
 // drop makes a call come to nothing. Its connection is of no further use, as its answer may still come.
 func (c *call) drop() {
-	c.done = func(*answer, link.End) {}
+	c.done = func(*answer, link.EndReason) {}
 	if w := c.wire; w != nil {
 		w.finish()
 	}
@@ -39,7 +39,7 @@
 
 // engine is one server and its connections.
 type engine struct {
-	directory.Place
+	directory.Record
 	f        *Fleet
 	kind     string
 	idle     []*wire // the last used last
@@ -73,21 +73,21 @@
 // start writes a call to an idle connection, or to one that it opens.
 func (e *engine) start(c *call) {
 	if e.Addr == "" { // its process has ended: another one listens there
-		c.done(nil, link.Refused)
+		c.done(nil, link.ConnRefused)
 		return
 	}
 	for n := len(e.idle); n > 0; n = len(e.idle) {
 		w := e.idle[n-1]
 		e.idle = e.idle[:n-1]
-		e.f.Deadlines.Clear(&w.timer)
-		if w.c.Quiet() { // danger: what came since would spoil this call
+		e.f.Deadlines.Cancel(&w.timer)
+		if w.c.Idle() { // danger: what came since would spoil this call
 			w.write(c)
 			return
 		}
 		w.finish()
 	}
 	if !e.f.room() {
-		c.done(nil, link.Crowded)
+		c.done(nil, link.NoDescriptor)
 		return
 	}
 	w := &wire{e: e, addr: e.Addr, call: c}
@@ -112,13 +112,13 @@
 }
 
 // Left tells whether nothing of the engine's is open or out.
-func (e *engine) Left() bool { return e.wires == 0 && e.attempts == 0 }
+func (e *engine) Unused() bool { return e.wires == 0 && e.attempts == 0 }
 
 // Lose has nothing to end: each call has a connection of its own, which finds out as it comes up.
-func (e *engine) Lose() {}
+func (e *engine) AddressTaken() {}
 
 // Leave closes what is idle.
-func (e *engine) Leave() {
+func (e *engine) CloseIdle() {
 	for len(e.idle) > 0 {
 		e.idle[0].finish()
 	}
@@ -130,11 +130,11 @@
 	if b == nil {
 		w.call, c.wire = nil, nil
 		w.rest()
-		c.done(nil, link.Unreached)
+		c.done(nil, link.Unreachable)
 		return
 	}
 	w.call, c.wire, c.written = c, w, true
-	c.timer.Do = func() { w.end(link.Silent) }
+	c.timer.Do = func() { w.end(link.NoAnswer) }
 	f.Deadlines.Set(&c.timer, f.Now()+c.within)
 	w.c.Write(b)
 }
@@ -142,7 +142,7 @@
 // rest keeps the connection for the next call.
 func (w *wire) rest() {
 	e := w.e
-	if e.Gone || w.addr != e.Addr {
+	if e.Removed || w.addr != e.Addr {
 		w.finish()
 		return
 	}
@@ -166,7 +166,7 @@
 	w.over = true
 	w.hold(0)
 	e := w.e
-	e.f.Deadlines.Clear(&w.timer)
+	e.f.Deadlines.Cancel(&w.timer)
 	for i, x := range e.idle {
 		if x == w {
 			e.idle = append(e.idle[:i:i], e.idle[i+1:]...)
@@ -174,7 +174,7 @@
 		}
 	}
 	if c := w.call; c != nil {
-		e.f.Deadlines.Clear(&c.timer)
+		e.f.Deadlines.Cancel(&c.timer)
 		c.wire = nil
 	}
 	if w.c != nil {
@@ -182,11 +182,11 @@
 	}
 	e.wires--
 	e.f.wires--
-	e.f.engines.Forget(e)
+	e.f.engines.RemoveIfUnused(e)
 }
 
 // end closes the connection and tells its call how it ended.
-func (w *wire) end(why link.End) {
+func (w *wire) end(why link.EndReason) {
 	c := w.call
 	w.finish()
 	w.call = nil
@@ -205,14 +205,14 @@
 		return
 	}
 	if w.addr != w.e.Addr { // danger: another engine listens there by now
-		w.end(link.Refused)
+		w.end(link.ConnRefused)
 		return
 	}
 	w.write(w.call)
 }
 
 // Closed comes when the connection ends by itself, or did not come up.
-func (w *wire) Closed(why link.End) {
+func (w *wire) Closed(why link.EndReason) {
 	if w.over {
 		return
 	}
@@ -238,12 +238,12 @@
 	a, err := w.take(b)
 	if errors.Is(err, errNoRoom) {
 		f.Faults.Add("result-no-room", "engine", w.e.ID, "bytes", len(w.got))
-		w.end(link.Crowded)
+		w.end(link.NoDescriptor)
 		return
 	}
 	if err != nil {
 		f.Faults.Add("engine-garbled", "engine", w.e.ID, "addr", w.addr, "error", err)
-		w.end(link.Garbled)
+		w.end(link.Malformed)
 		return
 	}
 	if a == nil {
@@ -251,7 +251,7 @@
 	}
 	c := w.call
 	w.call, c.wire = nil, nil
-	f.Deadlines.Clear(&c.timer)
+	f.Deadlines.Cancel(&c.timer)
 	if a.Close || len(w.buf) > 0 {
 		w.finish()
 	} else {
--- a/internal/chhttp/front.go
+++ b/internal/chhttp/front.go
@@ -133,7 +133,7 @@
 }
 
 // Quiet and Push are for the seat.
-func (s *Session) Quiet() bool { return s.c.Quiet() }
+func (s *Session) Quiet() bool { return s.c.Idle() }
 
 // Push makes the session give way.
 func (s *Session) Push() { s.close() }
@@ -144,7 +144,7 @@
 		return
 	}
 	s.seat.Busy()
-	s.f.Deadlines.Clear(&s.resting)
+	s.f.Deadlines.Cancel(&s.resting)
 	s.buf = append(s.buf, b...)
 	if !s.hold(s.weight()) {
 		s.noRoom()
@@ -179,14 +179,14 @@
 		s.refuse(413, except(codeTooLarge, "over %d bytes behind an open request", most))
 	case s.q == nil && s.head == nil && len(s.buf) == 0:
 		s.buf = nil
-		f.Deadlines.Clear(&s.late)
+		f.Deadlines.Cancel(&s.late)
 		if s.served > 0 {
 			s.seat.Resting()
 			f.Deadlines.Set(&s.resting, f.Now()+f.Config.Own.CH.KeepAlive)
 		} else {
 			f.Deadlines.Set(&s.late, f.Now()+headWithin)
 		}
-	case s.q == nil && !s.late.Waits():
+	case s.q == nil && !s.late.Scheduled():
 		f.Deadlines.Set(&s.late, f.Now()+headWithin)
 	}
 }
@@ -241,7 +241,7 @@
 		return false
 	}
 	s.buf = append([]byte(nil), s.buf...)
-	f.Deadlines.Clear(&s.late)
+	f.Deadlines.Cancel(&s.late)
 	h, body := s.head, s.got
 	s.head, s.body, s.got = nil, nil, nil
 	s.served++
@@ -593,7 +593,7 @@
 }
 
 // Closed comes when the connection ends by itself: its client has left, and what it asked for serves no one.
-func (s *Session) Closed(link.End) {
+func (s *Session) Closed(link.EndReason) {
 	if !s.closed {
 		s.gone()
 	}
@@ -604,7 +604,7 @@
 	delete(s.f.all, s)
 	s.seat.Leave()
 	for _, e := range []*deadline.Entry{&s.late, &s.again, &s.resting} {
-		s.f.Deadlines.Clear(e)
+		s.f.Deadlines.Cancel(e)
 	}
 	s.abandon()
 	s.hold(0)
--- a/internal/chhttp/front_test.go
+++ b/internal/chhttp/front_test.go
@@ -25,8 +25,8 @@
 func (s *sink) Write(b []byte) { s.b.Write(b) }
 func (s *sink) Close()         { s.closed = true }
 func (s *sink) Pending() int   { return 0 }
-func (s *sink) Quiet() bool    { return true }
-func (s *sink) Shut()          {}
+func (s *sink) Idle() bool     { return true }
+func (s *sink) CloseWrite()    {}
 func (s *sink) Abort()         { s.Close() }
 
 // taker takes requests and keeps them open.
@@ -155,7 +155,7 @@
 	}
 	for _, s := range all {
 		if !s.closed {
-			s.Closed(link.Broken)
+			s.Closed(link.ConnReset)
 		}
 	}
 	if f.held != 0 {
@@ -205,14 +205,14 @@
 				r.Client.Serve(&result.Set{Pages: [][]byte{[]byte("a\tb\tc\n")}})
 			}
 			*now += 10
-			fr.Deadlines.Sweep(*now)
+			fr.Deadlines.RunDue(*now)
 		}
 		if !s.closed {
-			s.Closed(link.Broken)
+			s.Closed(link.ConnReset)
 		}
 		for range 3 {
 			*now += 60000
-			fr.Deadlines.Sweep(*now)
+			fr.Deadlines.RunDue(*now)
 		}
 		if _, left := fr.Deadlines.Next(); left || len(k.open) > 0 || len(fr.queries) > 0 || len(fr.locks) > 0 || len(fr.all) > 0 || fr.Seats.Count() != 0 || fr.held != 0 {
 			t.Fatalf("left: deadlines %v, %d open, %d queries, %d locks, %d sessions, %d seats", left, len(k.open), len(fr.queries), len(fr.locks), len(fr.all), fr.Seats.Count())
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -79,7 +79,7 @@
 	Request   string
 	Attempt   int
 	Engine    string
-	End       link.End
+	End       link.EndReason
 	Took      float64
 	Work, Mem float64
 	Report    choice.Report
@@ -113,10 +113,10 @@
 	out   int
 	ended bool
 
-	sentAt     float64  // when the latest attempt was sent
-	lastEnd    link.End // of the latest attempt that has ended
-	mayHaveRun bool     // an attempt has ended without proof that it never ran
-	mayRunAt   float64  // when the first such attempt was sent
+	sentAt     float64        // when the latest attempt was sent
+	lastEnd    link.EndReason // of the latest attempt that has ended
+	mayHaveRun bool           // an attempt has ended without proof that it never ran
+	mayRunAt   float64        // when the first such attempt was sent
 }
 
 // Coordinator holds the module's front and what it has in hand. All calls come from the event loop.
--- a/internal/coordinator/repeat.go
+++ b/internal/coordinator/repeat.go
@@ -9,7 +9,7 @@
 )
 
 // note keeps what later attempts of a request are judged by: how the latest ended, and whether any may have run.
-func (q *open) note(end link.End) {
+func (q *open) note(end link.EndReason) {
 	q.lastEnd = end
 	if end.Result().MayHaveRun() && !q.mayHaveRun {
 		q.mayHaveRun, q.mayRunAt = true, q.sentAt
--- a/internal/deadline/deadline.go
+++ b/internal/deadline/deadline.go
@@ -1,20 +1,20 @@
-// Package deadline holds all deadlines of the program in one sorted structure, which each turn sweeps.
+// Package deadline keeps all deadlines of the program in one sorted queue. Each event-loop turn runs those that are due.
 package deadline
 
 import "github.com/google/btree"
 
-// Entry is one deadline. Its zero value with Do set is ready for use; an entry is in the queue once at most.
+// Entry is one deadline. Its zero value with Do set is ready for use; an entry is in the queue at most once.
 type Entry struct {
-	Do  func()
-	at  float64
-	seq uint64
-	in  bool
+	Do     func()
+	at     float64
+	seq    uint64
+	queued bool
 }
 
-// Waits tells whether the entry is in its queue.
-func (e *Entry) Waits() bool { return e.in }
+// Scheduled reports whether the entry is in its queue.
+func (e *Entry) Scheduled() bool { return e.queued }
 
-// Queue is sorted by time; entries of one time are in the order in which they were set.
+// Queue is sorted by time; entries with the same time are in the order in which they were set.
 type Queue struct {
 	tree *btree.BTreeG[*Entry]
 	seq  uint64
@@ -30,23 +30,23 @@
 	})}
 }
 
-// Set puts an entry at a time, taking it from where it was.
+// Set schedules an entry, or moves it if it is scheduled already. Do is called by RunDue once the time at has come.
 func (q *Queue) Set(e *Entry, at float64) {
-	q.Clear(e)
+	q.Cancel(e)
 	q.seq++
-	e.at, e.seq, e.in = at, q.seq, true
+	e.at, e.seq, e.queued = at, q.seq, true
 	q.tree.ReplaceOrInsert(e)
 }
 
-// Clear takes an entry out.
-func (q *Queue) Clear(e *Entry) {
-	if e.in {
+// Cancel removes an entry from the queue, if it is scheduled.
+func (q *Queue) Cancel(e *Entry) {
+	if e.queued {
 		q.tree.Delete(e)
-		e.in = false
+		e.queued = false
 	}
 }
 
-// Next is the earliest time set, if any.
+// Next returns the earliest scheduled time, if any.
 func (q *Queue) Next() (at float64, ok bool) {
 	e, ok := q.tree.Min()
 	if !ok {
@@ -55,10 +55,10 @@
 	return e.at, true
 }
 
-// Sweep runs what is due, earliest first. What is set meanwhile waits for the next sweep, due or not: an entry
-// that sets itself anew at once must not hold the loop.
-func (q *Queue) Sweep(now float64) {
-	last := q.seq
+// RunDue calls Do of all due entries, earliest first. Entries that are set meanwhile wait for the next call even if they are due:
+// an entry that always schedules itself again for now would otherwise block the event loop.
+func (q *Queue) RunDue(now float64) {
+	lastSeq := q.seq
 	var later []*Entry
 	for {
 		e, ok := q.tree.Min()
@@ -66,15 +66,15 @@
 			break
 		}
 		q.tree.DeleteMin()
-		if e.seq > last {
+		if e.seq > lastSeq {
 			later = append(later, e)
 			continue
 		}
-		e.in = false
+		e.queued = false
 		e.Do()
 	}
 	for _, e := range later {
-		if e.in { // cleared meanwhile, if not
+		if e.queued { // not cancelled meanwhile
 			q.tree.ReplaceOrInsert(e)
 		}
 	}
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -1,99 +1,100 @@
-// Package directory keeps which server is known by which id and where it listens, for each kind of servers alike: a
-// server is known by its id, and an address belongs to the one that was named with it last.
+// Package directory records the ids and addresses of servers, for any kind of server. A server is identified by its id, and an
+// address belongs to the server that was last listed with it.
 package directory
 
 import "slices"
 
-// Place is what is told of a server. Servers embed it.
-type Place struct {
-	ID   string
-	Addr string // "" once another one listens there
-	Gone bool   // it has left the list
+// Record holds what the discovery service states about a server. Server types embed it.
+type Record struct {
+	ID      string
+	Addr    string // "" if unknown, or once another server has the address
+	Removed bool   // no longer listed
 }
 
-// Self is the place; Server asks for it.
-func (p *Place) Self() *Place { return p }
+// DirectoryRecord returns the record itself, as Server requires.
+func (r *Record) DirectoryRecord() *Record { return r }
 
-// Server is a server with what its side keeps of it.
+// Server is a server with its connections, as a protocol implements it.
 type Server interface {
 	comparable
-	Self() *Place
-	Leave()     // closes what is idle: it has gone, or has another address
-	Lose()      // another one has its address: what waits for it comes to nothing
-	Left() bool // nothing of it is out or open any more
+	DirectoryRecord() *Record
+	CloseIdle()    // closes idle connections: the server was removed, or its address changes
+	AddressTaken() // another server has its address: fails what waits for this one
+	Unused() bool  // reports whether it has no open connection or running attempt left
 }
 
-// Directory is all servers of a side. Its zero value is empty.
+// Directory holds all servers that a protocol uses. Its zero value is empty.
 type Directory[S Server] struct {
-	byID  map[string]S
-	order []S // in the order in which they were named
-	at    map[string]S
+	byID   map[string]S
+	order  []S // in the order in which they were first listed
+	byAddr map[string]S
 }
 
-// Get is the server of an id.
+// Get returns the server of an id.
 func (d *Directory[S]) Get(id string) (s S, ok bool) {
 	s, ok = d.byID[id]
 	return s, ok
 }
 
-// All are the servers in the order in which they were named.
+// All returns the servers in the order in which they were first listed.
 func (d *Directory[S]) All() []S { return d.order }
 
-// Know takes where a server is, or that it has gone. fresh makes one that was not known.
-func (d *Directory[S]) Know(id, addr string, gone bool, fresh func(Place) S) {
+// Update records the address of a server, or that it was removed. fresh creates a server that was not known.
+func (d *Directory[S]) Update(id, addr string, removed bool, create func(Record) S) {
 	if d.byID == nil {
-		d.byID, d.at = map[string]S{}, map[string]S{}
+		d.byID, d.byAddr = map[string]S{}, map[string]S{}
 	}
 	s, known := d.byID[id]
 	if !known {
-		if gone {
+		if removed {
 			return
 		}
-		s = fresh(Place{ID: id})
+		s = create(Record{ID: id})
 		d.byID[id], d.order = s, append(d.order, s)
 	}
-	p := s.Self()
-	if addr != "" && addr != p.Addr {
-		// Danger: a new server may have the address of one that has gone. It must get none of its connections and
-		// queries.
-		if o, taken := d.at[addr]; taken {
-			o.Self().Addr = ""
-			o.Leave()
-			o.Lose()
+	record := s.DirectoryRecord()
+	if addr != "" && addr != record.Addr {
+		// Danger: a new server may have the address of a removed one. No connection or query of the old server may be used
+		// for the new one.
+		if owner, taken := d.byAddr[addr]; taken {
+			owner.DirectoryRecord().Addr = ""
+			owner.CloseIdle()
+			owner.AddressTaken()
 		}
-		d.leaveAddress(s)
-		s.Leave()
-		p.Addr, d.at[addr] = addr, s
+		d.releaseAddress(s)
+		s.CloseIdle()
+		record.Addr, d.byAddr[addr] = addr, s
 	}
-	if p.Gone = gone; gone {
-		s.Leave()
-		d.Forget(s)
+	if record.Removed = removed; removed {
+		s.CloseIdle()
+		d.RemoveIfUnused(s)
 	}
 }
 
-// Only takes a whole list: servers that it does not name have gone.
-func (d *Directory[S]) Only(named map[string]bool) {
+// RemoveUnlisted processes a complete list: servers whose ids it does not name are removed.
+func (d *Directory[S]) RemoveUnlisted(named map[string]bool) {
 	for _, s := range slices.Clone(d.order) {
-		if p := s.Self(); !named[p.ID] && !p.Gone {
-			d.Know(p.ID, "", true, nil)
+		if record := s.DirectoryRecord(); !named[record.ID] && !record.Removed {
+			d.Update(record.ID, "", true, nil)
 		}
 	}
 }
 
-// Forget drops a server that has gone, once nothing of it is left, and tells whether it did.
-func (d *Directory[S]) Forget(s S) bool {
-	p := s.Self()
-	if !p.Gone || !s.Left() || d.byID[p.ID] != s {
+// RemoveIfUnused forgets a removed server if it is unused, and reports whether it did.
+func (d *Directory[S]) RemoveIfUnused(s S) bool {
+	record := s.DirectoryRecord()
+	if !record.Removed || !s.Unused() || d.byID[record.ID] != s {
 		return false
 	}
-	delete(d.byID, p.ID)
-	d.leaveAddress(s)
+	delete(d.byID, record.ID)
+	d.releaseAddress(s)
 	d.order = slices.DeleteFunc(slices.Clone(d.order), func(x S) bool { return x == s })
 	return true
 }
 
-func (d *Directory[S]) leaveAddress(s S) {
-	if a := s.Self().Addr; d.at[a] == s {
-		delete(d.at, a)
+// releaseAddress frees the address of a server, unless another server has taken it over.
+func (d *Directory[S]) releaseAddress(s S) {
+	if addr := s.DirectoryRecord().Addr; d.byAddr[addr] == s {
+		delete(d.byAddr, addr)
 	}
 }
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -8,57 +8,58 @@
 )
 
 type server struct {
-	Place
-	busy, lost, leaves int
+	Record
+	busy, addressTaken, idleClosed int
 }
 
-func (s *server) Leave()     { s.leaves++ }
-func (s *server) Lose()      { s.lost++ }
-func (s *server) Left() bool { return s.busy == 0 }
+func (s *server) CloseIdle()    { s.idleClosed++ }
+func (s *server) AddressTaken() { s.addressTaken++ }
+func (s *server) Unused() bool  { return s.busy == 0 }
 
-// Whatever the order of news, an address belongs to one server at most, that which was named with it last; one that has
-// gone is kept while something of it is left and forgotten then; and the order is that of naming.
+// In whatever order updates arrive, an address belongs to at most one server, the one last listed with it. A removed server
+// is kept as long as it is in use and then forgotten, and servers stay in the order in which they were first listed.
 func TestDirectory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var d Directory[*server]
 		ids, addrs := rapid.SampledFrom([]string{"a", "b", "c"}), rapid.SampledFrom([]string{"", "1", "2", "3"})
-		last := map[string]string{} // address -> who was named with it last
-		for range rapid.IntRange(1, 60).Draw(t, "news") {
-			id, addr, gone := ids.Draw(t, "id"), addrs.Draw(t, "addr"), rapid.IntRange(0, 3).Draw(t, "gone") == 0
+		last := map[string]string{} // address -> id of the server last listed with it
+		for range rapid.IntRange(1, 60).Draw(t, "updates") {
+			id, addr, removed := ids.Draw(t, "id"), addrs.Draw(t, "addr"), rapid.IntRange(0, 3).Draw(t, "removed") == 0
 			_, known := d.Get(id)
-			d.Know(id, addr, gone, func(p Place) *server { return &server{Place: p} })
-			if (known || !gone) && addr != "" {
+			d.Update(id, addr, removed, func(p Record) *server { return &server{Record: p} })
+			if (known || !removed) && addr != "" {
 				last[addr] = id
 			}
 			if s, ok := d.Get(id); ok {
 				s.busy = rapid.IntRange(0, 1).Draw(t, "busy")
-				if forgotten := d.Forget(s); forgotten != (s.Gone && s.busy == 0) {
-					t.Fatalf("%s: forgotten %v, gone %v, busy %d", id, forgotten, s.Gone, s.busy)
+				if forgotten := d.RemoveIfUnused(s); forgotten != (s.Removed && s.busy == 0) {
+					t.Fatalf("%s: forgotten %v, removed %v, busy %d", id, forgotten, s.Removed, s.busy)
 				}
 			}
 			seen := map[string]bool{}
 			for _, s := range d.All() {
 				if got, ok := d.Get(s.ID); !ok || got != s {
-					t.Fatalf("%s is in the order and not known", s.ID)
+					t.Fatalf("%s is listed in All but not known to Get", s.ID)
 				}
 				if s.Addr != "" && (seen[s.Addr] || last[s.Addr] != s.ID) {
-					t.Fatalf("%s has %s, which was given to %s", s.ID, s.Addr, last[s.Addr])
+					t.Fatalf("%s has address %s, which was last listed for %s", s.ID, s.Addr, last[s.Addr])
 				}
 				seen[s.Addr] = true
 			}
 		}
-		d.Only(map[string]bool{"a": true})
+		d.RemoveUnlisted(map[string]bool{"a": true})
 		for _, s := range d.All() {
-			if s.Gone != (s.ID != "a") && !(s.ID == "a" && s.Gone) {
-				t.Fatalf("%s: gone %v after a list of a", s.ID, s.Gone)
+			if s.Removed != (s.ID != "a") && !(s.ID == "a" && s.Removed) {
+				t.Fatalf("%s: removed %v after a complete list that names only a", s.ID, s.Removed)
 			}
 		}
 	})
 	var d Directory[*server]
 	for i := range 3 {
-		d.Know(fmt.Sprint(i), "1", false, func(p Place) *server { return &server{Place: p, busy: 1} })
+		d.Update(fmt.Sprint(i), "1", false, func(p Record) *server { return &server{Record: p, busy: 1} })
 	}
-	if x := d.All(); x[0].lost != 1 || x[1].lost != 1 || x[2].lost != 0 || x[0].Addr != "" || x[2].Addr != "1" {
+	if x := d.All(); x[0].addressTaken != 1 || x[1].addressTaken != 1 || x[2].addressTaken != 0 ||
+		x[0].Addr != "" || x[2].Addr != "1" {
 		t.Errorf("%+v %+v %+v", x[0], x[1], x[2])
 	}
 }
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -1,41 +1,44 @@
-// Package link names what the protocols and the sockets ask of each other, so that each protocol can be
-// played without a socket. It also holds the one list of the ways in which a connection can end.
+// Package link defines the interfaces between the protocols and the sockets, so that each protocol can be tested
+// without a socket. It also lists all reasons for which a connection or a call on it can end.
 package link
 
 import "thymeway/choice"
 
-// End is how a connection, or what was asked over it, came to its end.
-type End uint8
+// EndReason is the reason why a connection, or a call or attempt on it, ended.
+type EndReason uint8
 
-// The ways to end.
+// The reasons for an end. "It" is the attempt or call.
 const (
-	Served    End = iota // the worker group gave the whole result
-	Full                 // the worker group turned it away, and it never ran
-	Over                 // its time was over before it ran
-	Failed               // the worker group gave an error
-	Rejected             // it found the query itself at fault before it ran, as any other would
-	Refused              // the other side refused the connection: no process listens
-	Unreached            // the connection did not come up in time
-	Crowded              // there was no descriptor for a connection
-	Died                 // the connection broke and a new one was refused: the process died
-	Lost                 // the connection broke, and the worker group does not know the query
-	Silent               // no answer came in time
-	GivenUp              // called off
-	Hangup               // the other side closed the connection
-	Broken               // the connection was reset, or the system gave an error
-	Garbled              // the other side sent what can't be read
-	Idle                 // closed by us after a time without use
-	Stopped              // closed by us
+	Served        EndReason = iota // the engine delivered the whole result
+	Full                           // the engine rejected it for lack of capacity, and it never ran
+	Expired                        // its time was over before it ran, or it was withdrawn before it was sent
+	Failed                         // the engine answered with an error
+	Rejected                       // the engine found the query invalid before running it, as any other would
+	ConnRefused                    // the other side refused the connection: no process listens
+	Unreachable                    // the connection was not established in time
+	NoDescriptor                   // no descriptor or connection slot was free; of a call also: no memory for its answer
+	ProcessDied                    // the process that the query was sent to has ended
+	QueryLost                      // the connection or the result was lost, or the engine does not know the query
+	NoAnswer                       // no answer arrived in time
+	Cancelled                      // cancelled by the coordinator
+	PeerClosed                     // the other side closed the connection
+	ConnReset                      // the connection was reset, or failed with a system error
+	Malformed                      // the other side sent malformed data
+	IdleTimeout                    // closed by the coordinator as idle for too long
+	ClosedLocally                  // closed by the coordinator
 )
 
-var names = [...]string{"served", "full", "over", "failed", "rejected", "refused", "unreached", "crowded", "died", "lost", "silent", "given-up",
-	"hangup", "broken", "garbled", "idle", "stopped"}
+// endReasonNames are the names in logs and metrics, in the order of the constants.
+var endReasonNames = [...]string{"served", "full", "over", "failed", "rejected", "refused", "unreached", "crowded", "died",
+	"lost", "silent", "given-up", "hangup", "broken", "garbled", "idle", "stopped"}
 
-func (e End) String() string { return names[e] }
+// String returns the name of the reason in logs and metrics.
+func (e EndReason) String() string { return endReasonNames[e] }
 
-// Result is the module's outcome for each way to end. Danger: Full, ConnectFailed, Moot and Rejected promise the module
-// that nothing ran; only an answer that says so, or a connection that never came up, may be mapped to them.
-func (e End) Result() choice.Result {
+// Result maps the reason to the scheduler's result of an attempt. Danger: the results Full, ConnectFailed, NotRun and
+// Rejected promise the scheduler that nothing ran; only an answer that says so, or a connection that was never established,
+// may be mapped to them.
+func (e EndReason) Result() choice.Result {
 	switch e {
 	case Served:
 		return choice.OK
@@ -43,39 +46,42 @@
 		return choice.Full
 	case Rejected:
 		return choice.Rejected
-	case Over, Crowded:
+	case Expired, NoDescriptor:
 		return choice.NotRun
-	case Failed, Broken: // danger: a reset says nothing of the process; taken for a restart, it would make it cold
+	case Failed, ConnReset:
+		// Danger: a reset does not show that the process restarted; as a Reset it would mark the engine as cold.
 		return choice.Error
-	case Refused, Unreached:
+	case ConnRefused, Unreachable:
 		return choice.ConnectFailed
-	case Silent, Lost: // danger: dropped a moment ago, or on its way to the engine still; an error would prove an end
+	case NoAnswer, QueryLost:
+		// Danger: the query may have been dropped only a moment ago, or may still be on its way to the engine; as an Error it
+		// would count as proven to have ended.
 		return choice.Timeout
-	case GivenUp, Garbled, Idle, Stopped: // a query whose answers are spoilt is deleted
+	case Cancelled, Malformed, IdleTimeout, ClosedLocally: // a query whose answers are malformed is deleted
 		return choice.Cancelled
 	}
-	return choice.Reset // Died, Hangup
+	return choice.Reset // ProcessDied, PeerClosed
 }
 
-// Conn is an open connection. Neither call waits. A closed connection takes further calls and does nothing.
+// Conn is an open connection. No method blocks. The methods of a closed connection do nothing.
 type Conn interface {
 	Write(b []byte)
 	Close()
-	Shut()        // ends our side only, behind what was written: the other side's end tells that it has read all
-	Abort()       // closes at once, and drops what the system has not sent yet
-	Pending() int // bytes that the system has not taken yet
-	Quiet() bool  // open on both sides, and nothing has come that Received was not given
+	CloseWrite()  // closes the sending side after what was written; once the other side closes too, it has read everything
+	Abort()       // closes at once, and discards what the system has not sent yet
+	Pending() int // number of written bytes that the system has not accepted yet
+	Idle() bool   // open in both directions, and no input is unread
 }
 
-// Handler is the object behind a connection. Opened comes first, if the connection comes up; Closed comes once
-// at the end, but not after our own Close. The bytes of Received are valid during the call only.
+// Handler receives the events of a connection. Opened is called first, if the connection is established. Closed is called once at
+// the end, but not after a call of Conn.Close or Conn.Abort. The bytes given to Received are valid during the call only.
 type Handler interface {
 	Opened(c Conn)
 	Received(b []byte)
-	Closed(e End)
+	Closed(e EndReason)
 }
 
-// Dialer opens connections. Whatever happens is told to the handler later, never during Dial.
+// Dialer opens connections. It calls the handler later, never during Dial.
 type Dialer interface {
 	Dial(addr string, h Handler)
 }
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -6,13 +6,14 @@
 	"thymeway/choice"
 )
 
-// What each end promises the module. Only the first group says that nothing ran; a reset is no restart, and what a worker
-// group no longer knows may have been dropped a moment ago.
+// Guards the mapping of end reasons to the scheduler's results. Only the results of the first line of the table, and
+// Rejected, promise that nothing ran. A reset connection must not count as a restart of the engine, and a query that its
+// worker group no longer knows must not count as ended, as it may have been dropped only a moment ago.
 func TestResults(t *testing.T) {
-	for want, ends := range map[choice.Result][]End{
-		choice.Full: {Full}, choice.NotRun: {Over, Crowded}, choice.ConnectFailed: {Refused, Unreached},
-		choice.OK: {Served}, choice.Error: {Failed, Broken}, choice.Timeout: {Silent, Lost},
-		choice.Reset: {Died, Hangup}, choice.Cancelled: {GivenUp, Garbled, Idle, Stopped},
+	for want, ends := range map[choice.Result][]EndReason{
+		choice.Full: {Full}, choice.NotRun: {Expired, NoDescriptor}, choice.ConnectFailed: {ConnRefused, Unreachable},
+		choice.OK: {Served}, choice.Error: {Failed, ConnReset}, choice.Timeout: {NoAnswer, QueryLost},
+		choice.Reset: {ProcessDied, PeerClosed}, choice.Cancelled: {Cancelled, Malformed, IdleTimeout, ClosedLocally},
 	} {
 		for _, e := range ends {
 			if got := e.Result(); got != want {
--- a/internal/net/conn.go
+++ b/internal/net/conn.go
@@ -140,7 +140,7 @@
 }
 
 // Shut ends our side only. Where bytes still wait for the system it is left to Close.
-func (c *conn) Shut() {
+func (c *conn) CloseWrite() {
 	if !c.closed && len(c.pending) == 0 {
 		_ = unix.Shutdown(c.fd, unix.SHUT_WR)
 	}
@@ -163,7 +163,7 @@
 }
 
 // Quiet looks at what the system holds: the loop may not have come to read it yet.
-func (c *conn) Quiet() bool {
+func (c *conn) Idle() bool {
 	if c.closed {
 		return false
 	}
@@ -177,12 +177,12 @@
 }
 
 // ending is the system's word on the end of a connection.
-func ending(err error) link.End {
+func ending(err error) link.EndReason {
 	switch {
 	case errors.Is(err, io.EOF):
-		return link.Hangup
+		return link.PeerClosed
 	case errors.Is(err, unix.ECONNREFUSED):
-		return link.Refused
+		return link.ConnRefused
 	}
-	return link.Broken
+	return link.ConnReset
 }
--- a/internal/net/dial.go
+++ b/internal/net/dial.go
@@ -43,7 +43,7 @@
 	d.tries++
 	err := d.begin()
 	if err == nil {
-		d.timer.Do = func() { d.fail(link.Unreached) }
+		d.timer.Do = func() { d.fail(link.Unreachable) }
 		d.l.Deadlines.Set(&d.timer, d.until)
 		return
 	}
@@ -96,7 +96,7 @@
 		d.fail(failure(err))
 		return
 	}
-	d.l.Deadlines.Clear(&d.timer)
+	d.l.Deadlines.Cancel(&d.timer)
 	delete(d.l.dialling, d.fd)
 	c := &conn{l: d.l, h: d.h, fd: d.fd, waits: writable}
 	d.l.conns[d.fd] = c
@@ -108,8 +108,8 @@
 }
 
 // fail ends it, with its handler told in the next turn.
-func (d *dialling) fail(e link.End) {
-	d.l.Deadlines.Clear(&d.timer)
+func (d *dialling) fail(e link.EndReason) {
+	d.l.Deadlines.Cancel(&d.timer)
 	delete(d.l.dialling, d.fd)
 	d.l.put(func() {
 		_ = unix.Close(d.fd)
@@ -123,17 +123,17 @@
 }
 
 // failure is the system's word on a connection that did not come up.
-func failure(err error) link.End {
+func failure(err error) link.EndReason {
 	switch {
 	case errors.Is(err, unix.ECONNREFUSED):
-		return link.Refused
+		return link.ConnRefused
 	case outOfResources(err):
-		return link.Crowded
+		return link.NoDescriptor
 	// Danger: one that came up and was reset at once tells nothing of the process behind it.
 	case errors.Is(err, unix.ECONNRESET), errors.Is(err, unix.EPIPE), errors.Is(err, unix.ENOTCONN):
-		return link.Broken
+		return link.ConnReset
 	}
-	return link.Unreached
+	return link.Unreachable
 }
 
 // sockaddr is an address in the system's form, with its family.
--- a/internal/net/faults_test.go
+++ b/internal/net/faults_test.go
@@ -82,7 +82,7 @@
 		b.done <- fmt.Sprint(bytes.Equal(b.got.Bytes(), b.text))
 	}
 }
-func (b *bulk) Closed(e link.End) { b.done <- e.String() }
+func (b *bulk) Closed(e link.EndReason) { b.done <- e.String() }
 
 // EINTR on a read or write ended its connection, and a failing accept the loop.
 func TestConnectionEndsWhenSystemCallFailsForAMoment(t *testing.T) {
@@ -134,7 +134,7 @@
 		go func() { ended <- l.Run() }()
 		select {
 		case got := <-p.got:
-			if got != link.Crowded.String() {
+			if got != link.NoDescriptor.String() {
 				t.Errorf("%v: told as %s", fault, got)
 			}
 		case <-time.After(30 * time.Second):
--- a/internal/net/loop.go
+++ b/internal/net/loop.go
@@ -152,7 +152,7 @@
 func (l *Loop) turn() {
 	l.asked = false
 	l.flush()
-	l.Deadlines.Sweep(l.Now())
+	l.Deadlines.RunDue(l.Now())
 	l.Turn()
 	l.flush()
 }
--- a/internal/net/loop_test.go
+++ b/internal/net/loop_test.go
@@ -15,9 +15,9 @@
 // echo is the accepting side; probe the dialling one. All run on the loop.
 type echo struct{ c link.Conn }
 
-func (e *echo) Opened(c link.Conn) { e.c = c }
-func (e *echo) Received(b []byte)  { e.c.Write(b) }
-func (e *echo) Closed(link.End)    {}
+func (e *echo) Opened(c link.Conn)    { e.c = c }
+func (e *echo) Received(b []byte)     { e.c.Write(b) }
+func (e *echo) Closed(link.EndReason) {}
 
 type probe struct {
 	c    link.Conn
@@ -32,7 +32,7 @@
 		p.got <- p.text
 	}
 }
-func (p *probe) Closed(e link.End) { p.got <- e.String() }
+func (p *probe) Closed(e link.EndReason) { p.got <- e.String() }
 
 func free(t *testing.T) string {
 	l, err := stdnet.Listen("tcp", "127.0.0.1:0")
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -18,8 +18,8 @@
 func (q *quiet) Write(b []byte) { q.last = b }
 func (q *quiet) Close()         {}
 func (q *quiet) Pending() int   { return 0 }
-func (q *quiet) Quiet() bool    { return true }
-func (q *quiet) Shut()          {}
+func (q *quiet) Idle() bool     { return true }
+func (q *quiet) CloseWrite()    {}
 func (q *quiet) Abort()         { q.Close() }
 
 type dialq struct{ all []*quiet }
@@ -49,7 +49,7 @@
 	for b.Loop() {
 		i++
 		now += 10
-		q.Sweep(now)
+		q.RunDue(now)
 		text := fmt.Sprintf("/* verb=lookup,txn=%016x,limit=1500,team=acme,cpu=20,heap_mb=96 */ SELECT day, count(*), max(note) FROM sales_%d.orders WHERE tag = '%x' GROUP BY day\x00", i, i%40, i)
 		m := append([]byte{'Q'}, binary.BigEndian.AppendUint32(nil, uint32(len(text)+4))...)
 		s.Received(append(m, text...))
--- a/internal/node/keep_test.go
+++ b/internal/node/keep_test.go
@@ -42,7 +42,7 @@
 		n.Shapes.Look("SELECT a FROM t"+strings.Repeat("x", i), shape.Postgres, 0)
 	}
 	for ; now < 1100; now += 10 { // the file is written while the program runs
-		q.Sweep(now)
+		q.RunDue(now)
 	}
 	n.keeper.Close()
 	n.keeper = nil
--- a/internal/node/mixed_test.go
+++ b/internal/node/mixed_test.go
@@ -52,7 +52,7 @@
 			w.t.Fatal("it does not end")
 		}
 		w.woken = false
-		w.queue.Sweep(w.now)
+		w.queue.RunDue(w.now)
 		w.n.Coordinator.Turn()
 		if w.woken {
 			w.now += 0.001 // a turn takes its time: what is to be done at once may not come at the same time for ever
@@ -81,7 +81,7 @@
 // Dial connects to a worker group.
 func (w *world) Dial(addr string, h link.Handler) {
 	if addr != "127.0.0.1:4101" {
-		w.at(1, func() { h.Closed(link.Refused) })
+		w.at(1, func() { h.Closed(link.ConnRefused) })
 		return
 	}
 	g := &groupSide{w: w, h: h}
@@ -97,8 +97,8 @@
 
 func (g *groupSide) Close()       { g.closed = true }
 func (g *groupSide) Pending() int { return 0 }
-func (g *groupSide) Quiet() bool  { return !g.closed }
-func (g *groupSide) Shut()        {}
+func (g *groupSide) Idle() bool   { return !g.closed }
+func (g *groupSide) CloseWrite()  {}
 func (g *groupSide) Abort()       { g.Close() }
 
 func (g *groupSide) reply(ms float64, text string, then func()) {
@@ -163,8 +163,8 @@
 
 func (c *caller) Close()       {}
 func (c *caller) Pending() int { return 0 }
-func (c *caller) Quiet() bool  { return true }
-func (c *caller) Shut()        {}
+func (c *caller) Idle() bool   { return true }
+func (c *caller) CloseWrite()  {}
 func (c *caller) Abort()       { c.Close() }
 
 func (c *caller) Write(b []byte) {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -71,15 +71,15 @@
 func New(c config.Config, d link.Dialer, queue *deadline.Queue, now func() float64, wake func()) (*Node, error) {
 	faults := &tally.Tally{Now: now}
 	fleet := &rest.Fleet{Dialer: d, Deadlines: queue, Now: now, Faults: faults, ConnectTimeout: c.ConnectTimeout,
-		ConnIdle: c.ConnIdle * idleShare, MostWires: int(float64(c.Sockets) * engineShare)}
+		ConnIdleTimeout: c.ConnIdle * idleShare, MaxConns: int(float64(c.Sockets) * engineShare)}
 	book := shape.NewBook(shape.Options{Bytes: c.ShapeBytes(), Seed: c.Seed})
 	keeper := remember(book, c.Own.Shapes)
 	engines, ch := coordinator.Engines(fleet), (*chengine.Fleet)(nil)
 	speaks := func(k config.Kind) bool { return k.Protocol == "clickhouse" }
 	if slices.ContainsFunc(slices.Collect(maps.Values(c.Own.Kinds)), speaks) {
-		fleet.MostWires /= 2
+		fleet.MaxConns /= 2
 		ch = &chengine.Fleet{Dialer: d, Deadlines: queue, Now: now, Faults: faults, ConnIdle: min(c.ConnIdle*idleShare, chIdle),
-			MostWires: fleet.MostWires, MostResult: c.Own.CH.MostResult,
+			MostWires: fleet.MaxConns, MostResult: c.Own.CH.MostResult,
 			Login:    func(kind string) (string, string) { return c.Own.Kinds[kind].User, c.Own.Kinds[kind].Password },
 			MostHeld: int(c.MemoryMB * (1 << 20) * resultShare)}
 		engines = &coordinator.Mux{Sides: []coordinator.Engines{fleet, ch}, Side: func(m coordinator.Member) int {
@@ -89,7 +89,7 @@
 			return 0
 		}}
 	}
-	wires := fleet.MostWires
+	wires := fleet.MaxConns
 	coord := coordinator.New(c.Choice, now, queue, engines, wake,
 		coordinator.Reading{Shapes: book, Role: c.Classify().Role, Estimates: c.Own.Shapes.Estimates, Faults: faults})
 	fleet.Watcher = coord
@@ -223,13 +223,13 @@
 // out is the number of attempts that may run on some engine.
 func (n *Node) out() int {
 	if n.ch != nil {
-		return n.fleet.Out() + n.ch.Out()
+		return n.fleet.InFlight() + n.ch.Out()
 	}
-	return n.fleet.Out()
+	return n.fleet.InFlight()
 }
 
 // FreeDescriptor closes an unused connection to an engine, if there is one.
-func (n *Node) FreeDescriptor() { n.fleet.CloseIdle() }
+func (n *Node) FreeDescriptor() { n.fleet.CloseIdleConn() }
 
 // pending is the number of bytes on their way to clients.
 func (n *Node) pending() int {
--- a/internal/node/order_test.go
+++ b/internal/node/order_test.go
@@ -87,9 +87,9 @@
 		}
 		switch {
 		case s.now >= e.from && s.now < e.to:
-			s.at(250, func() { h.Closed(link.Unreached) })
+			s.at(250, func() { h.Closed(link.Unreachable) })
 		case e.drains || e.down:
-			s.at(1, func() { h.Closed(link.Refused) })
+			s.at(1, func() { h.Closed(link.ConnRefused) })
 		default:
 			c := &connStub{e: e, h: h}
 			e.conns = append(e.conns, c)
@@ -97,11 +97,11 @@
 		}
 		return
 	}
-	s.at(1, func() { h.Closed(link.Refused) })
+	s.at(1, func() { h.Closed(link.ConnRefused) })
 }
 
 func (c *connStub) Pending() int { return 0 }
-func (c *connStub) Quiet() bool  { return !c.theirs && !c.ours }
+func (c *connStub) Idle() bool   { return !c.theirs && !c.ours }
 
 // Close ends the program's side behind what it has written, which comes all the same.
 func (c *connStub) Close() {
@@ -109,23 +109,23 @@
 	c.fin()
 }
 
-func (c *connStub) Shut() { c.fin() }
+func (c *connStub) CloseWrite() { c.fin() }
 
 func (c *connStub) fin() {
 	if !c.fined {
 		c.fined = true
-		c.e.s.at(c.arrive(&c.there), func() { c.end(link.Hangup) })
+		c.e.s.at(c.arrive(&c.there), func() { c.end(link.PeerClosed) })
 	}
 }
 
 // Abort drops what has not come yet.
 func (c *connStub) Abort() {
 	c.ours, c.aborted = true, true
-	c.e.s.at(c.arrive(&c.there), func() { c.end(link.Broken) })
+	c.e.s.at(c.arrive(&c.there), func() { c.end(link.ConnReset) })
 }
 
 // end is the worker group's side ending: nothing is read or answered any more.
-func (c *connStub) end(how link.End) {
+func (c *connStub) end(how link.EndReason) {
 	if c.theirs {
 		return
 	}
@@ -209,7 +209,7 @@
 	}
 	roll := s.rand.Float64()
 	if roll < s.rough { // reset before it is heard
-		c.end(link.Broken)
+		c.end(link.ConnReset)
 		return
 	}
 	line := strings.Fields(text)
@@ -235,7 +235,7 @@
 		e.answer(c, "HTTP/1.1 204 -\r\n\r\n", nil)
 	}
 	if roll < 2*s.rough {
-		c.end(link.Broken)
+		c.end(link.ConnReset)
 	}
 }
 
@@ -395,7 +395,7 @@
 		s.at(3000+s.rand.Float64()*3000, func() { e.drains = false; e.list(choice.Healthy) })
 	case 3: // its process dies, and another one comes
 		for _, c := range slices.Clone(e.conns) {
-			c.end(link.Broken)
+			c.end(link.ConnReset)
 		}
 		for _, id := range slices.Sorted(maps.Keys(e.queries)) {
 			e.over(id, unknown, true)
@@ -408,14 +408,14 @@
 		}
 		if s.rand.Intn(2) == 0 { // and its connections are reset as it begins
 			for _, c := range slices.Clone(e.conns) {
-				c.end(link.Broken)
+				c.end(link.ConnReset)
 			}
 		}
 		e.from, e.to = s.now, s.now+200+s.rand.Float64()*12000
 		e.hung = e.to
 	case 4: // all its connections are reset, and it runs on
 		for _, c := range slices.Clone(e.conns) {
-			c.end(link.Broken)
+			c.end(link.ConnReset)
 		}
 	}
 }
@@ -485,7 +485,7 @@
 				w.at(w.rand.Float64()*2000, func() {
 					if answers[i] == 0 {
 						answers[i] = -1
-						c.h.Closed(link.Broken)
+						c.h.Closed(link.ConnReset)
 					}
 				})
 			}
--- a/internal/node/play_test.go
+++ b/internal/node/play_test.go
@@ -109,9 +109,9 @@
 
 func (s *side) Pending() int { return 0 }
 
-func (s *side) Quiet() bool { return !s.unread }
+func (s *side) Idle() bool { return !s.unread }
 
-func (s *side) Shut() {
+func (s *side) CloseWrite() {
 	if !s.closed {
 		s.p.say("%s ended on the program's side", s.name)
 	}
@@ -142,7 +142,7 @@
 			p.t.Fatal("the program asks for turns without end")
 		}
 		p.woken = false
-		p.queue.Sweep(p.now)
+		p.queue.RunDue(p.now)
 		p.n.Coordinator.Turn()
 		if at, ok := p.queue.Next(); !p.woken && (!ok || at > p.now) {
 			return
@@ -269,7 +269,7 @@
 	case "up":
 		s.h.Opened(s)
 	case "end":
-		for e := link.Served; e <= link.Stopped; e++ {
+		for e := link.Served; e <= link.ClosedLocally; e++ {
 			if e.String() == rest && !s.closed {
 				s.closed = true
 				s.h.Closed(e)
--- a/internal/pg/session.go
+++ b/internal/pg/session.go
@@ -120,7 +120,7 @@
 }
 
 // Quiet and Push are for the seat.
-func (s *Session) Quiet() bool { return s.c.Quiet() }
+func (s *Session) Quiet() bool { return s.c.Idle() }
 
 // Push makes the session give way.
 func (s *Session) Push() { s.close() }
@@ -165,7 +165,7 @@
 			s.startup(m)
 			continue
 		}
-		a.Deadlines.Clear(&s.late)
+		a.Deadlines.Cancel(&s.late)
 		s.message(m)
 	}
 	if s.closed {
@@ -184,7 +184,7 @@
 		if s.started && s.req == nil {
 			s.seat.Resting()
 		}
-	case !whole && !s.late.Waits():
+	case !whole && !s.late.Scheduled():
 		a.Deadlines.Set(&s.late, a.Now()+firstWithin)
 	}
 }
@@ -368,7 +368,7 @@
 
 // Closed comes when the connection ends by itself. Like PostgreSQL, it takes a client that closes its side for one
 // that has left: nothing tells a half-closed connection from a closed one.
-func (s *Session) Closed(link.End) {
+func (s *Session) Closed(link.EndReason) {
 	if !s.closed {
 		s.gone()
 	}
@@ -377,8 +377,8 @@
 func (s *Session) gone() {
 	s.closed, s.buf = true, nil
 	s.seat.Leave()
-	s.all.Deadlines.Clear(&s.late)
-	s.all.Deadlines.Clear(&s.again)
+	s.all.Deadlines.Cancel(&s.late)
+	s.all.Deadlines.Cancel(&s.again)
 	if s.started {
 		delete(s.all.open, s.pid)
 	}
--- a/internal/pg/session_test.go
+++ b/internal/pg/session_test.go
@@ -16,8 +16,8 @@
 func (s *sink) Write(b []byte) { s.n += bytes.Count(b, []byte("I\x00\x00\x00\x04")) }
 func (s *sink) Close()         {}
 func (s *sink) Pending() int   { return 0 }
-func (s *sink) Quiet() bool    { return true }
-func (s *sink) Shut()          {}
+func (s *sink) Idle() bool     { return true }
+func (s *sink) CloseWrite()    {}
 func (s *sink) Abort()         { s.Close() }
 
 // A flood of good messages takes several turns: other clients come in between.
@@ -32,6 +32,6 @@
 		if want := min(turn*mostATurn, 100); c.n < want-1 || c.n > want {
 			t.Errorf("turn %d: %d answers, want %d", turn, c.n, want)
 		}
-		a.Deadlines.Sweep(0)
+		a.Deadlines.RunDue(0)
 	}
 }
--- a/internal/rest/attempt.go
+++ b/internal/rest/attempt.go
@@ -15,399 +15,422 @@
 	"thymeway/internal/result"
 )
 
-// attempt is one run of a query on a worker group, from its POST to its end. Connections come and go under it.
+// attempt is one run of a query on a worker group, from its POST to its end. It may use several connections in turn.
 type attempt struct {
 	coordinator.Attempt
-	f         *Fleet
-	g         *group
-	query     *query
-	sent      float64
-	post      *call
-	postedAt  float64 // when the POST was written; 0: it was not
-	withdrawn bool    // it was too late to write the POST as its connection was there
-	known     bool    // the worker group has shown that it has the query
-	aliveAt   float64 // when the query is known to have run last, as calls were answered without a gap since; 0: there was one
-	spoilt    int     // answers in a row that can't be used
-	call      *call   // the call under way
-	control   *call   // the DELETE
-	tries     int     // DELETEs without an answer that is proof
-	cancelled bool
-	reason    link.End // why it was given up
-	told      bool     // the worker group has told its end since
-	over      bool
-	ended     coordinator.Outcome
-	budget    deadline.Entry // the end of the wait
-	again     deadline.Entry // the next try to reach a silent worker group
-	lapse     deadline.Entry // when a given-up query can't be out any more
+	fleet          *Fleet
+	group          *group
+	query          *query
+	startedAt      float64
+	postCall       *call
+	postedAt       float64 // when the POST was written; 0: not written
+	tooLateToPost  bool    // the attempt had expired when its connection became available, so the POST was not written
+	arrived        bool    // an answer has shown that the worker group received the query
+	runningAt      float64 // latest time at which the query is known to have run; 0 after a gap in the chain of answered calls
+	invalidAnswers int     // consecutive answers that can't be used
+	currentCall    *call   // the keep-alive call in progress
+	deleteCall     *call   // the DELETE in progress
+	deleteTries    int     // DELETEs that brought no proof of the end
+	cancelled      bool
+	cancelReason   link.EndReason // why the attempt was cancelled
+	endReported    bool           // since the cancellation the worker group has reported that the query has ended
+	finished       bool
+	outcome        coordinator.Outcome
+	waitTimer      deadline.Entry // fires when the wait for the attempt is over
+	retryTimer     deadline.Entry // fires for the next poll, page request or DELETE
+	dropTimer      deadline.Entry // fires when the worker group must have dropped the query
 }
 
-var notes = map[string]choice.NoticeKind{"advance": choice.NoticeProgress, "disk": choice.NoticeSpill, "stall": choice.NoticeWait}
+// noticeKinds maps the values of X-Tell to the kinds of progress notices.
+var noticeKinds = map[string]choice.NoticeKind{"advance": choice.NoticeProgress, "disk": choice.NoticeSpill, "stall": choice.NoticeWait}
 
+// begin registers the attempt and starts the call that posts its query.
 func (a *attempt) begin() {
-	a.ended = coordinator.Outcome{Request: a.ID, Engine: a.Engine, Attempt: a.Number}
-	if a.g == nil || a.g.Addr == "" {
-		a.finish(link.Unreached)
+	a.outcome = coordinator.Outcome{Request: a.ID, Engine: a.Engine, Attempt: a.Number}
+	if a.group == nil || a.group.Addr == "" {
+		a.finish(link.Unreachable)
 		return
 	}
-	if a.f.attempts == nil {
-		a.f.attempts = map[key]*attempt{}
+	if a.fleet.attempts == nil {
+		a.fleet.attempts = map[attemptKey]*attempt{}
 	}
-	a.f.attempts[key{a.ID, a.Number}] = a
-	a.g.attempts++
-	a.query = a.g.query(a.ID)
+	a.fleet.attempts[attemptKey{a.ID, a.Number}] = a
+	a.group.attemptCount++
+	a.query = a.group.queryFor(a.ID)
 	a.query.attempts = append(a.query.attempts, a)
-	a.lapse.Do = a.dropped
-	a.budget.Do = func() {
-		if a.postedAt == 0 { // it was never written
-			a.finish(link.Unreached)
+	a.dropTimer.Do = a.finishIfDropped
+	a.waitTimer.Do = func() {
+		if a.postedAt == 0 { // the POST was never written
+			a.finish(link.Unreachable)
 			return
 		}
-		// Danger: a query does not end with its budget. One whose worker group is cut off, or takes no further
-		// connection for the DELETE, runs on: the client is answered now, the end is told once it is known.
-		a.f.Watcher.Overdue(a.ID)
-		a.giveUp(link.Silent)
-	}
-	a.f.Deadlines.Set(&a.budget, a.Until)
-	a.post = &call{build: a.first, within: pollWithin, done: a.posted}
-	a.inquire(a.post)
+		// Danger: a query does not end when its time budget does. If its worker group is cut off, or accepts no further
+		// connection for the DELETE, the query runs on: the client is answered now, and the end is reported once proven.
+		a.fleet.Watcher.Overdue(a.ID)
+		a.cancel(link.NoAnswer)
+	}
+	a.fleet.Deadlines.Set(&a.waitTimer, a.Until)
+	a.postCall = &call{build: a.buildPost, timeout: pollTimeout, done: a.postDone}
+	a.startKeepAliveCall(a.postCall)
 }
 
-func (a *attempt) start(c *call) {
-	a.call, c.stays = c, a.postedAt > 0
-	a.g.start(c)
+// startCall starts a call of the attempt. Once the POST was written the query may be running, so calls then wait for a connection
+// even if the worker group refuses one.
+func (a *attempt) startCall(c *call) {
+	a.currentCall, c.waitsForConn = c, a.postedAt > 0
+	a.group.start(c)
 }
 
-// inquire makes a call that keeps the query alive. What it answers counts late too.
-func (a *attempt) inquire(c *call) {
-	c.asks, c.late = a.query, func(r *reply) { a.late(c, r) }
-	a.start(c)
+// startKeepAliveCall starts a call that keeps the query alive. Its answer is used even if it arrives late.
+func (a *attempt) startKeepAliveCall(c *call) {
+	c.keepsAlive, c.lateAnswer = a.query, func(r *reply) { a.acceptLateAnswer(c, r) }
+	a.startCall(c)
 }
 
-// first makes the bytes of the POST. The budget is what is left when it is written, not when it was asked for.
-func (a *attempt) first() []byte {
-	if a.withdrawn = a.Expired(a.f.Now()); a.withdrawn {
+// buildPost returns the bytes of the POST, or nil if the attempt has expired. The budget that it states is the time left when the
+// POST is written, not when the attempt was started.
+func (a *attempt) buildPost() []byte {
+	if a.tooLateToPost = a.Expired(a.fleet.Now()); a.tooLateToPost {
 		return nil
 	}
-	left := math.Floor(a.Until - a.f.Now())
-	a.postedAt = a.f.Now()
-	a.aliveAt = a.postedAt
-	logs.Trace("post", a.ID, "engine", a.Engine, "addr", a.g.Addr, "left", left, "waited", a.postedAt-a.sent)
-	h := []string{"X-Hop-Id", a.ID, "X-Sort", a.Class, "X-Budget", strconv.Itoa(int(left))}
+	left := math.Floor(a.Until - a.fleet.Now())
+	a.postedAt = a.fleet.Now()
+	a.runningAt = a.postedAt
+	logs.Trace("post", a.ID, "engine", a.Engine, "addr", a.group.Addr, "left", left, "waited", a.postedAt-a.startedAt)
+	headers := []string{"X-Hop-Id", a.ID, "X-Sort", a.Class, "X-Budget", strconv.Itoa(int(left))}
 	if a.Idem != "" {
-		h = append(h, "X-Replay-Key", a.Idem)
+		headers = append(headers, "X-Replay-Key", a.Idem)
 	}
 	if a.Grant > 0 {
-		h = append(h, "Grant-Mb", strconv.Itoa(int(math.Ceil(a.Grant))))
+		headers = append(headers, "Grant-Mb", strconv.Itoa(int(math.Ceil(a.Grant))))
 	}
-	h = append(h, "Content-Length", strconv.Itoa(len(a.Statement)))
-	return request("POST", "/obj", a.g.Addr, a.Statement, h)
+	headers = append(headers, "Content-Length", strconv.Itoa(len(a.Statement)))
+	return buildRequest("POST", "/obj", a.group.Addr, a.Statement, headers)
 }
 
-func (a *attempt) get(page int) []byte {
-	return request("GET", "/obj/"+a.ID+"/"+strconv.Itoa(page), a.g.Addr, "", nil)
+// buildGet returns the bytes of a request for a page of the result.
+func (a *attempt) buildGet(page int) []byte {
+	return buildRequest("GET", "/obj/"+a.ID+"/"+strconv.Itoa(page), a.group.Addr, "", nil)
 }
 
-// posted is the end of the first call. Only a connection that never came up proves that nothing ran.
-func (a *attempt) posted(r *reply, e link.End) {
+// postDone handles the end of the POST call. Only a connection that was never established proves that nothing ran.
+func (a *attempt) postDone(r *reply, e link.EndReason) {
 	switch {
 	case r != nil:
-		a.news(a.post, r)
+		a.processAnswer(a.postCall, r)
 	case a.postedAt > 0:
-		logs.Trace("post-broke", a.ID, "engine", a.Engine, "wire", a.post.wire, "end", e)
-		a.askIn(0)
-	case a.withdrawn:
-		a.finish(link.Over)
-	case e == link.Refused || e == link.Crowded:
+		logs.Trace("post-broke", a.ID, "engine", a.Engine, "wire", a.postCall.connNumber, "end", e)
+		a.pollAfter(0)
+	case a.tooLateToPost:
+		a.finish(link.Expired)
+	case e == link.ConnRefused || e == link.NoDescriptor:
 		a.finish(e)
 	default:
-		a.finish(link.Unreached)
+		a.finish(link.Unreachable)
 	}
 }
 
-func (a *attempt) ask() {
-	c := &call{within: pollWithin}
+// poll asks for the status of the query, which is page 0 of its result.
+func (a *attempt) poll() {
+	c := &call{timeout: pollTimeout}
 	c.build = func() []byte {
-		c.after = a.fixed()
-		logs.Trace("ask", a.ID, "engine", a.Engine, "fixed", c.after)
-		return a.get(0)
+		c.writtenAfterPost = a.postSettled()
+		logs.Trace("ask", a.ID, "engine", a.Engine, "fixed", c.writtenAfterPost)
+		return a.buildGet(0)
 	}
-	c.done = func(r *reply, e link.End) {
+	c.done = func(r *reply, e link.EndReason) {
 		if r == nil {
-			logs.Trace("ask-broke", a.ID, "engine", a.Engine, "wire", c.wire, "end", e)
+			logs.Trace("ask-broke", a.ID, "engine", a.Engine, "wire", c.connNumber, "end", e)
 		}
 		switch {
 		case r != nil:
-			a.news(c, r)
-		case e == link.Refused && a.g.replaced():
-			a.finish(link.Died)
-		case e == link.Unreached || e == link.Silent:
-			a.askIn(retryPause)
+			a.processAnswer(c, r)
+		case e == link.ConnRefused && a.group.replaced():
+			a.finish(link.ProcessDied)
+		case e == link.Unreachable || e == link.NoAnswer:
+			a.pollAfter(retryPause)
 		default:
-			a.askIn(quickPause)
+			a.pollAfter(reconnectPause)
 		}
 	}
-	a.inquire(c)
+	a.startKeepAliveCall(c)
 }
 
-// askIn asks again after a pause. Danger: asking at once would spin where connections break at once.
-func (a *attempt) askIn(pause float64) {
-	a.call, a.aliveAt = nil, 0
-	a.again.Do = a.ask
-	a.f.Deadlines.Set(&a.again, a.f.Now()+pause)
-	a.watch()
+// pollAfter polls again after a pause, in milliseconds. Danger: polling without a pause would loop without end where connections
+// break as soon as they are established.
+func (a *attempt) pollAfter(pause float64) {
+	a.currentCall, a.runningAt = nil, 0
+	a.retryTimer.Do = a.poll
+	a.fleet.Deadlines.Set(&a.retryTimer, a.fleet.Now()+pause)
+	a.scheduleDropCheck()
 }
 
-// late takes an answer that came after its call was taken for silent, or after the attempt was given up.
-func (a *attempt) late(c *call, r *reply) {
-	logs.Trace("late", a.ID, "engine", a.Engine, "wire", c.wire, "status", r.status, "after", a.f.Now()-c.wrote, "own", c == a.post, "fixed", c.after)
-	end := r.ends() || r.good() && r.pages == 1
+// acceptLateAnswer handles an answer that arrived after its call had timed out or after the attempt was cancelled.
+func (a *attempt) acceptLateAnswer(c *call, r *reply) {
+	logs.Trace("late", a.ID, "engine", a.Engine, "wire", c.connNumber, "status", r.status, "after", a.fleet.Now()-c.writtenAt,
+		"own", c == a.postCall, "fixed", c.writtenAfterPost)
+	final := r.endsWithoutResult() || r.hasResult() && r.pageCount == 1
 	switch {
-	case a.over:
+	case a.finished:
 	case a.cancelled:
-		a.known = a.known || r.status == 202
-		if a.told = a.told || end && a.ends(c, r); a.told && (a.control == nil || a.control.waits()) {
-			// Danger: a DELETE on its way could overtake the next POST of the same query. It is waited for.
-			a.finish(a.reason)
+		a.arrived = a.arrived || r.status == 202
+		if a.endReported = a.endReported || final && a.endsAttempt(c, r); a.endReported &&
+			(a.deleteCall == nil || a.deleteCall.isWaiting()) {
+			// Danger: a DELETE that was written may arrive after the next POST of the same query and end it. So the attempt
+			// ends only once no DELETE is in flight.
+			a.finish(a.cancelReason)
 			return
 		}
-		a.settled()
+		a.callSettled()
 	case r.status == 202:
-		a.known = true
-	case (r.ends() || r.good()) && a.ends(c, r) && a.ended.Result == nil:
-		if a.call != nil {
-			a.call.drop()
+		a.arrived = true
+	case (r.endsWithoutResult() || r.hasResult()) && a.endsAttempt(c, r) && a.outcome.Result == nil:
+		if a.currentCall != nil {
+			a.currentCall.abandon()
 		}
-		a.f.Deadlines.Clear(&a.again)
-		a.news(c, r)
+		a.fleet.Deadlines.Cancel(&a.retryTimer)
+		a.processAnswer(c, r)
 	}
 }
 
-// settled comes once a call that keeps the query alive has come or never will. What was given up is deleted anew then:
-// a DELETE from before proves nothing.
-func (a *attempt) settled() {
-	if !a.cancelled || a.over {
+// callSettled is called when a call that keeps the query alive has arrived or never will. A cancelled attempt then sends another
+// DELETE, as one written earlier proves nothing.
+func (a *attempt) callSettled() {
+	if !a.cancelled || a.finished {
 		return
 	}
-	a.watch()
-	if a.fixed() && a.control == nil {
-		a.f.Deadlines.Set(&a.again, a.f.Now())
+	a.scheduleDropCheck()
+	if a.postSettled() && a.deleteCall == nil {
+		a.fleet.Deadlines.Set(&a.retryTimer, a.fleet.Now())
 	}
 }
 
-// news takes the answer to a POST or to a call for page 0.
-func (a *attempt) news(c *call, r *reply) {
-	logs.Trace("news", a.ID, "engine", a.Engine, "wire", c.wire, "status", r.status, "pages", r.pages, "own", c == a.post)
+// processAnswer handles the answer to the POST or to a poll.
+func (a *attempt) processAnswer(c *call, r *reply) {
+	logs.Trace("news", a.ID, "engine", a.Engine, "wire", c.connNumber, "status", r.status, "pages", r.pageCount,
+		"own", c == a.postCall)
 	if r.report != (choice.Report{}) {
-		a.ended.Report = r.report
+		a.outcome.Report = r.report
 	}
 	switch {
 	case r.status == 202:
-		a.known, a.spoilt = true, 0
-		kind, known := notes[r.tell]
-		// Danger: a worker group hands out the notes that it has kept, also those of a query that it has dropped since.
-		if r.tell == "" {
-			a.aliveAt = c.wrote
+		a.arrived, a.invalidAnswers = true, 0
+		kind, known := noticeKinds[r.notice]
+		// Danger: a worker group also delivers stored progress notices of a query that it has dropped in the meantime, so
+		// only an answer without a notice shows that the query is running.
+		if r.notice == "" {
+			a.runningAt = c.writtenAt
 		}
-		a.ask()
+		a.poll()
 		if known {
-			a.f.Watcher.Noted(a.ID, a.Engine, a.Number, kind, r.figure)
+			a.fleet.Watcher.Noted(a.ID, a.Engine, a.Number, kind, r.level)
 		}
-	case !a.ends(c, r) && (r.good() || r.ends()): // of a time before the POST came, or of an attempt before
-		a.askIn(retryPause)
-	case r.good():
-		a.ended.Took = a.f.Now() - a.sent // the pages' way is ours and says nothing of the worker group
-		a.ended.Work, a.ended.Mem = r.work, r.peak
-		a.ended.Result = &result.Set{Pages: make([][]byte, r.pages)}
-		a.page(0, r)
-	case r.ends() && r.status == 503:
+	case !a.endsAttempt(c, r) && (r.hasResult() || r.endsWithoutResult()):
+		// The answer may describe a time before the POST arrived, or a previous attempt.
+		a.pollAfter(retryPause)
+	case r.hasResult():
+		a.outcome.Took = a.fleet.Now() - a.startedAt // fetching further pages says nothing about the worker group's speed
+		a.outcome.Work, a.outcome.Mem = r.workMs, r.peakMB
+		a.outcome.Result = &result.Set{Pages: make([][]byte, r.pageCount)}
+		a.acceptPage(0, r)
+	case r.endsWithoutResult() && r.status == 503:
 		a.finish(link.Full)
-	case r.ends() && r.status == 504:
-		a.finish(link.Over)
-	case r.ends() && (a.f.Now() > a.alive(c)+unasked-unaskedSlack || a.query.stray.Waits()):
-		// Danger: it may be an error, or the query is not known any more: dropped, or lost with its process, a moment ago.
-		// Its worker group is told that it is given up, so that both sides take it for over from then.
-		a.giveUp(link.Lost)
-	case r.ends():
+	case r.endsWithoutResult() && r.status == 504:
+		a.finish(link.Expired)
+	case r.endsWithoutResult() &&
+		(a.fleet.Now() > a.lastKnownRunning(c)+unpolledTimeout-unpolledSlack || a.query.strayDelete.Scheduled()):
+		// Danger: this may be an error of the query, or the worker group may no longer know the query, because it was dropped
+		// or lost with its process a moment ago. The query is deleted, so that both sides consider it ended from then on.
+		a.cancel(link.QueryLost)
+	case r.endsWithoutResult():
 		a.finish(link.Failed)
 	default:
-		a.askAnew("result", r)
+		a.pollAfterInvalid("result", r)
 	}
 }
 
-// alive is when the query was known to run last, by what its connections told without a gap.
-func (a *attempt) alive(c *call) float64 {
-	if c == a.post {
-		return c.wrote
+// lastKnownRunning is the latest time at which the query is known to have run, according to calls answered without a gap.
+func (a *attempt) lastKnownRunning(c *call) float64 {
+	if c == a.postCall {
+		return c.writtenAt
 	}
-	return a.aliveAt
+	return a.runningAt
 }
 
-// askAnew asks for the news again, as what came is spoilt: the query has run, and its worker group gives the answer
-// again. Danger: a new attempt would run it twice, and this one might still be out.
-func (a *attempt) askAnew(what string, r *reply) {
-	a.f.Faults.Add("engine-spoilt", "engine", a.Engine, "what", what, "status", r.status, "bytes", len(r.body))
-	a.g.spoil()
-	if a.spoilt++; a.spoilt > mostSpoilt {
-		a.giveUp(link.Garbled)
+// pollAfterInvalid polls again after an invalid answer: the query has run, and its worker group will repeat the answer. Danger: a
+// new attempt instead would run the query twice, and this attempt might still be running.
+func (a *attempt) pollAfterInvalid(what string, r *reply) {
+	a.fleet.Faults.Add("engine-spoilt", "engine", a.Engine, "what", what, "status", r.status, "bytes", len(r.body))
+	a.group.closeAnswering()
+	if a.invalidAnswers++; a.invalidAnswers > maxInvalidAnswers {
+		a.cancel(link.Malformed)
 		return
 	}
-	a.askIn(quickPause)
+	a.pollAfter(reconnectPause)
 }
 
-// page takes a page that can be used and asks for the next. The attempt is out until the last one is read. Nothing goes to
-// the client before all are here: what can't be finished may then still be tried elsewhere.
-func (a *attempt) page(n int, r *reply) {
-	a.ended.Result.Pages[n] = r.body
-	a.known, a.spoilt = true, 0
-	if n+1 < len(a.ended.Result.Pages) {
-		a.fetch(n + 1)
+// acceptPage stores a valid page and requests the next one. The attempt lasts until the last page is read. Nothing is sent to the
+// client before all pages are here, so that a query whose result can't be completed may still be tried elsewhere.
+func (a *attempt) acceptPage(page int, r *reply) {
+	a.outcome.Result.Pages[page] = r.body
+	a.arrived, a.invalidAnswers = true, 0
+	if page+1 < len(a.outcome.Result.Pages) {
+		a.fetchPage(page + 1)
 		return
 	}
-	if a.ended.Result.Size() > mostResult {
-		a.askAnew("size", r)
+	if a.outcome.Result.Size() > maxResultBytes {
+		a.pollAfterInvalid("size", r)
 		return
 	}
 	a.finish(link.Served)
 }
 
-func (a *attempt) fetch(n int) {
-	again := func(e link.End) {
-		if a.spoilt++; a.spoilt > mostSpoilt {
+// fetchPage requests a page after the first and tries again after a broken connection or an invalid answer, until there were too
+// many in a row.
+func (a *attempt) fetchPage(page int) {
+	retry := func(e link.EndReason) {
+		if a.invalidAnswers++; a.invalidAnswers > maxInvalidAnswers {
 			logs.Trace("page-given-up", a.ID, "engine", a.Engine, "end", e)
-			a.giveUp(link.Lost)
+			a.cancel(link.QueryLost)
 			return
 		}
-		a.call = nil
-		a.again.Do = func() { a.fetch(n) }
-		a.f.Deadlines.Set(&a.again, a.f.Now()+quickPause)
-		a.watch()
-	}
-	a.inquire(&call{build: func() []byte { return a.get(n) }, within: callWithin, done: func(r *reply, e link.End) {
-		logs.Trace("page", a.ID, "engine", a.Engine, "page", n, "answered", r != nil, "end", e)
-		switch {
-		case e == link.Refused && a.g.replaced():
-			a.finish(link.Died)
-		case r == nil:
-			again(link.Broken)
-		case r.status == 200 && r.page == n && rows(r.body, false):
-			a.page(n, r)
-		case r.ends(): // the page is lost: nobody had asked for it, or its process died
-			a.giveUp(link.Lost)
-		default:
-			a.f.Faults.Add("engine-spoilt", "engine", a.Engine, "what", "page", "status", r.status, "bytes", len(r.body))
-			a.g.spoil()
-			again(link.Garbled)
-		}
-	}})
+		a.currentCall = nil
+		a.retryTimer.Do = func() { a.fetchPage(page) }
+		a.fleet.Deadlines.Set(&a.retryTimer, a.fleet.Now()+reconnectPause)
+		a.scheduleDropCheck()
+	}
+	a.startKeepAliveCall(&call{build: func() []byte { return a.buildGet(page) }, timeout: callTimeout,
+		done: func(r *reply, e link.EndReason) {
+			logs.Trace("page", a.ID, "engine", a.Engine, "page", page, "answered", r != nil, "end", e)
+			switch {
+			case e == link.ConnRefused && a.group.replaced():
+				a.finish(link.ProcessDied)
+			case r == nil:
+				retry(link.ConnReset)
+			case r.status == 200 && r.pageNumber == page && validRows(r.body, false):
+				a.acceptPage(page, r)
+			case r.endsWithoutResult(): // the page is lost: the query was not polled for too long, or the process died
+				a.cancel(link.QueryLost)
+			default:
+				a.fleet.Faults.Add("engine-spoilt", "engine", a.Engine, "what", "page", "status", r.status, "bytes", len(r.body))
+				a.group.closeAnswering()
+				retry(link.Malformed)
+			}
+		}})
 }
 
-// rows tells whether a page holds whole rows of three columns of text. Only a result of one page may have none.
-func rows(b []byte, only bool) bool {
-	if len(b) == 0 {
-		return only
+// validRows reports whether a page holds complete rows of three text columns. A page without rows is valid only if it is the only
+// page of its result.
+func validRows(page []byte, onlyPage bool) bool {
+	if len(page) == 0 {
+		return onlyPage
 	}
-	if !utf8.Valid(b) {
+	if !utf8.Valid(page) {
 		return false
 	}
-	for len(b) > 0 {
-		i := bytes.IndexByte(b, '\n')
-		if i < 0 || bytes.Count(b[:i], []byte("\t")) != 2 || bytes.IndexByte(b[:i], 0) >= 0 {
+	for len(page) > 0 {
+		lineEnd := bytes.IndexByte(page, '\n')
+		if lineEnd < 0 || bytes.Count(page[:lineEnd], []byte("\t")) != 2 || bytes.IndexByte(page[:lineEnd], 0) >= 0 {
 			return false
 		}
-		b = b[i+1:]
+		page = page[lineEnd+1:]
 	}
 	return true
 }
 
-// giveUp has the query deleted; e is the end that the attempt comes to once that is proved. Danger: a request may have one
-// attempt out, so its next send has to wait until then, and so have the next requests of its key.
-func (a *attempt) giveUp(e link.End) {
-	if a.cancelled || a.over {
+// cancel has the query deleted; e is the reason with which the attempt finishes once its end is proven. Danger: a request
+// may have only one attempt in flight, so its next attempt has to wait until then, and so have the next requests of its
+// order key.
+func (a *attempt) cancel(e link.EndReason) {
+	if a.cancelled || a.finished {
 		return
 	}
-	a.cancelled, a.reason = true, e
-	if a.postedAt == 0 { // it was never written
+	a.cancelled, a.cancelReason = true, e
+	if a.postedAt == 0 { // the POST was never written
 		a.finish(e)
 		return
 	}
-	if c := a.call; c != nil && !c.g.forget(c) && c.asks != nil {
-		c.done = func(r *reply, _ link.End) { // a call under way may still tell that the query has ended
+	if c := a.currentCall; c != nil && !c.group.removeWaiting(c) && c.keepsAlive != nil {
+		c.done = func(r *reply, _ link.EndReason) { // the call in progress may still report that the query has ended
 			if r != nil {
-				a.late(c, r)
+				a.acceptLateAnswer(c, r)
 			}
 		}
 	}
-	a.watch()
-	a.again.Do = func() {
-		if a.control == nil {
-			a.delete()
+	a.scheduleDropCheck()
+	a.retryTimer.Do = func() {
+		if a.deleteCall == nil {
+			a.sendDelete()
 		}
 	}
-	a.f.Deadlines.Clear(&a.again)
-	if at := a.postedAt + sendApart; at > a.f.Now() {
-		a.f.Deadlines.Set(&a.again, at)
+	a.fleet.Deadlines.Cancel(&a.retryTimer)
+	if at := a.postedAt + deleteDelay; at > a.fleet.Now() {
+		a.fleet.Deadlines.Set(&a.retryTimer, at)
 		return
 	}
-	a.again.Do()
+	a.retryTimer.Do()
 }
 
-// delete tells the worker group that the query is given up. Danger: before the POST has come it is no word on it.
-func (a *attempt) delete() {
-	c := &call{within: callWithin, stays: true}
+// sendDelete asks the worker group to delete the query. Danger: the answer to a DELETE written before the POST was settled proves
+// nothing, as the POST may arrive afterwards.
+func (a *attempt) sendDelete() {
+	c := &call{timeout: callTimeout, waitsForConn: true}
 	c.build = func() []byte {
-		c.after = a.fixed()
-		return request("DELETE", "/obj/"+a.ID, a.g.Addr, "", nil)
+		c.writtenAfterPost = a.postSettled()
+		return buildRequest("DELETE", "/obj/"+a.ID, a.group.Addr, "", nil)
 	}
-	c.done = func(r *reply, e link.End) {
-		a.control = nil
-		if r == nil && c.wrote > 0 {
-			a.query.strayed()
+	c.done = func(r *reply, e link.EndReason) {
+		a.deleteCall = nil
+		if r == nil && c.writtenAt > 0 {
+			a.query.deleteUnanswered()
 		}
 		status := 0
 		if r != nil {
 			status = r.status
 		}
-		logs.Trace("deleted", a.ID, "engine", a.Engine, "wire", c.wire, "status", status, "end", e, "fixed", c.after)
+		logs.Trace("deleted", a.ID, "engine", a.Engine, "wire", c.connNumber, "status", status, "end", e,
+			"fixed", c.writtenAfterPost)
 		switch {
-		case a.over:
-		case a.told, status == 204 && c.after, e == link.Refused && a.g.replaced():
-			a.finish(a.reason)
-		case status == 204 && !a.fixed(): // deleted anew once the POST has come
+		case a.finished:
+		case a.endReported, status == 204 && c.writtenAfterPost, e == link.ConnRefused && a.group.replaced():
+			a.finish(a.cancelReason)
+		case status == 204 && !a.postSettled(): // another DELETE is sent once the POST is settled
 		case status == 204:
-			a.f.Deadlines.Set(&a.again, a.f.Now())
-		default: // danger: an engine silent for long would be tried many times a second
-			a.tries = min(a.tries+1, 8)
-			a.f.Deadlines.Set(&a.again, a.f.Now()+min(quickPause*float64(int(1)<<a.tries)/2, unasked))
+			a.fleet.Deadlines.Set(&a.retryTimer, a.fleet.Now())
+		default: // danger: without a growing pause a worker group that stays silent would be tried many times a second
+			a.deleteTries = min(a.deleteTries+1, 8)
+			a.fleet.Deadlines.Set(&a.retryTimer,
+				a.fleet.Now()+min(reconnectPause*float64(int(1)<<a.deleteTries)/2, unpolledTimeout))
 		}
 	}
-	a.control = c
-	a.g.start(c)
+	a.deleteCall = c
+	a.group.start(c)
 }
 
-// finish is the one end of an attempt.
-func (a *attempt) finish(e link.End) {
-	if a.over {
+// finish ends the attempt and reports its outcome. Every attempt ends here, once.
+func (a *attempt) finish(e link.EndReason) {
+	if a.finished {
 		return
 	}
-	a.over = true
-	if k := (key{a.ID, a.Number}); a.f.attempts[k] == a {
-		delete(a.f.attempts, k)
-		a.g.attempts--
+	a.finished = true
+	if k := (attemptKey{a.ID, a.Number}); a.fleet.attempts[k] == a {
+		delete(a.fleet.attempts, k)
+		a.group.attemptCount--
 		a.query.attempts = slices.DeleteFunc(a.query.attempts, func(x *attempt) bool { return x == a })
-		a.query.forget()
-		defer a.f.forget(a.g)
+		a.query.removeIfUnused()
+		defer a.fleet.removeIfUnused(a.group)
 	}
-	for _, t := range []*deadline.Entry{&a.budget, &a.again, &a.lapse} {
-		a.f.Deadlines.Clear(t)
+	for _, t := range []*deadline.Entry{&a.waitTimer, &a.retryTimer, &a.dropTimer} {
+		a.fleet.Deadlines.Cancel(t)
 	}
-	for _, c := range []*call{a.call, a.control} {
+	for _, c := range []*call{a.currentCall, a.deleteCall} {
 		if c != nil {
-			c.drop()
+			c.abandon()
 		}
 	}
-	a.ended.End = e
+	a.outcome.End = e
 	if e != link.Served {
-		a.ended.Took, a.ended.Result = a.f.Now()-a.sent, nil
+		a.outcome.Took, a.outcome.Result = a.fleet.Now()-a.startedAt, nil
 	}
-	a.f.Watcher.Ended(a.ended)
+	a.fleet.Watcher.Ended(a.outcome)
 }
--- a/internal/rest/fleet.go
+++ b/internal/rest/fleet.go
@@ -1,5 +1,5 @@
-// Package rest speaks the worker groups' protocol: calls over HTTP/1.1, one at a time on a connection, where no
-// connection owns a query.
+// Package rest implements the client side of the worker groups' HTTP/1.1 protocol. A connection carries one call at a time, and a
+// query is not tied to a connection: any connection to its worker group can be used to poll or delete it.
 package rest
 
 import (
@@ -13,165 +13,170 @@
 	"thymeway/internal/tally"
 )
 
-// Limits and pauses, in ms.
+// Timeouts, pauses (in milliseconds) and limits.
 const (
-	pollWithin   = 650.0  // for the news of a query, which come after 250 at the latest
-	callWithin   = 500.0  // for any other answer
-	restWithin   = 60.0   // for the rest of an answer that has begun
-	probeWithin  = 250.0  // for a probe
-	unasked      = 2000.0 // after which a worker group drops a query that nobody asks for
-	unaskedSlack = 350.0  // for the way there, and for the last answer that it held back
-	retryPause   = 150.0  // between two tries to reach a silent worker group
-	quickPause   = 20.0   // before asking again after a broken connection
-	extraWithin  = 4.0    // after an answer that ends something, for bytes behind it to come before the connection is used again
-	refusedPause = 50.0   // after a refused connection, before another one is asked for
-	sendApart    = 30.0   // between a POST and the DELETE of its query on another connection, which must not overtake it
-	lapseCheck   = 250.0  // between two looks whether a worker group has run since it must have dropped a query
-	hungMost     = 100e3  // for which a worker group may hang and run on after all
-	keptMost     = 100e3  // for which a silent connection is kept, as TCP has to keep one at least (RFC 1122, 4.2.3.5)
-	segmentLife  = 120e3  // for which the network may hold what was sent (RFC 9293, 3.4.1)
-	mostBroken   = 4      // connections in a row that are reset as they come up, before a call hears of it
-	mostSpoilt   = 8      // spoilt answers in a row before a query is given up
-	mostPages    = 64
-	mostResult   = 48000 // bytes of a whole result
+	pollTimeout          = 650.0  // for the POST and for polls, which are answered after 250 ms at the latest
+	callTimeout          = 500.0  // for other calls
+	partialAnswerTimeout = 60.0   // for the rest of an answer after its first bytes
+	probeTimeout         = 250.0  // for a probe
+	unpolledTimeout      = 2000.0 // a worker group drops a query that was not polled for this long
+	unpolledSlack        = 350.0  // for network delay, and for the last answer that the worker group delays
+	retryPause           = 150.0  // between attempts to reach a silent worker group
+	reconnectPause       = 20.0   // before polling again after a broken connection
+	trailingBytesPause   = 4.0    // after a final answer, to see whether excess bytes follow before the connection is reused
+	refusedPause         = 50.0   // after a refused connection, before another one is opened
+	deleteDelay          = 30.0   // from a POST to the DELETE of its query, which must not overtake it on another connection
+	dropCheckInterval    = 250.0  // between checks whether a worker group has run since it must have dropped a query
+	maxUnresponsive      = 100e3  // a worker group may hang for this long and still resume its queries
+	maxConnSilence       = 100e3  // a silent connection is kept this long, the minimum for TCP to retry (RFC 1122, 4.2.3.5)
+	maxSegmentLifetime   = 120e3  // the network may deliver a segment this late (RFC 9293, 3.4.1)
+	maxConnResets        = 4      // consecutive connections reset while being established, before a call fails
+	maxInvalidAnswers    = 8      // consecutive invalid answers before a query is cancelled
+	maxPages             = 64     // of a result
+	maxResultBytes       = 48000  // of a whole result
 )
 
-// Fleet is all worker groups that were ever named.
+// Fleet holds the worker groups named by the discovery service, and those that have disappeared from it but still have
+// attempts or connections. It implements coordinator.Engines.
 type Fleet struct {
-	Dialer         link.Dialer
-	Deadlines      *deadline.Queue
-	Now            func() float64
-	Watcher        coordinator.Watcher
-	Faults         *tally.Tally
-	ConnectTimeout float64
-	ConnIdle       float64 // for which an unused connection is kept
-	MostWires      int     // connections to all worker groups
-
-	groups   directory.Directory[*group]
-	attempts map[key]*attempt
-	wires    int
-	dials    int // so far
+	Dialer          link.Dialer
+	Deadlines       *deadline.Queue
+	Now             func() float64
+	Watcher         coordinator.Watcher
+	Faults          *tally.Tally
+	ConnectTimeout  float64
+	ConnIdleTimeout float64 // after which an idle connection is closed
+	MaxConns        int     // limit over all worker groups
+
+	groups    directory.Directory[*group]
+	attempts  map[attemptKey]*attempt
+	conns     int
+	dialCount int // connections ever opened
 }
 
-type key struct {
-	id string
-	n  int
+// attemptKey identifies an attempt by its request and its number within the request.
+type attemptKey struct {
+	request string
+	number  int
 }
 
-// Know takes an entry of the list.
+// Know adds or updates a listed worker group. If it is not healthy, attempts that were not yet sent to it are ended.
 func (f *Fleet) Know(m coordinator.Member) {
 	if g, known := f.groups.Get(m.ID); known && m.Status != choice.Healthy {
-		g.withdraw()
+		g.finishUnsent()
 	}
-	f.groups.Know(m.ID, m.Addr, m.Status == choice.Removed, func(p directory.Place) *group { return &group{f: f, Place: p} })
+	f.groups.Update(m.ID, m.Addr, m.Status == choice.Removed,
+		func(record directory.Record) *group { return &group{fleet: f, Record: record} })
 }
 
-// Only takes a whole list: worker groups that it does not name have gone.
+// Only processes a complete list: worker groups that it does not name are removed.
 func (f *Fleet) Only(named map[string]bool) {
 	for _, g := range f.groups.All() {
 		if !named[g.ID] {
-			g.withdraw()
+			g.finishUnsent()
 		}
 	}
-	f.groups.Only(named)
+	f.groups.RemoveUnlisted(named)
 }
 
-// forget drops a worker group that has gone, once nothing of it is left.
-func (f *Fleet) forget(g *group) {
-	if f.groups.Forget(g) {
-		f.Deadlines.Clear(&g.reopen)
+// removeIfUnused forgets a removed worker group once it has no connection, attempt or waiting call.
+func (f *Fleet) removeIfUnused(g *group) {
+	if f.groups.RemoveIfUnused(g) {
+		f.Deadlines.Cancel(&g.redialTimer)
 	}
 }
 
-// room tells whether one more connection may be opened, and closes an idle one elsewhere if that makes room, or the one
-// that has been silent for longest. Danger: silent ones may be all that there are, and no worker group be reached.
-func (f *Fleet) room() bool {
-	if f.wires < f.MostWires {
+// ensureConnCapacity reports whether one more connection may be opened. At the limit it closes an idle connection, or else
+// aborts the one that has been silent for longest. Danger: otherwise silent connections could use up the limit, and no
+// worker group could be reached.
+func (f *Fleet) ensureConnCapacity() bool {
+	if f.conns < f.MaxConns {
 		return true
 	}
-	return f.CloseIdle() || f.abortSilent()
+	return f.CloseIdleConn() || f.abortSilent()
 }
 
-// CloseIdle closes an unused connection, of the worker group that has most of them; false: there is none.
-func (f *Fleet) CloseIdle() bool {
-	var most *group
+// CloseIdleConn closes an idle connection of the worker group that has the most of them. It returns false if there is none.
+func (f *Fleet) CloseIdleConn() bool {
+	var mostIdle *group
 	for _, g := range f.groups.All() {
-		if most == nil || len(g.idle) > len(most.idle) {
-			most = g
+		if mostIdle == nil || len(g.idle) > len(mostIdle.idle) {
+			mostIdle = g
 		}
 	}
-	if most == nil || len(most.idle) == 0 {
+	if mostIdle == nil || len(mostIdle.idle) == 0 {
 		return false
 	}
-	w := most.idle[0]
-	w.unidle()
-	w.c.Close()
-	w.off()
+	cn := mostIdle.idle[0]
+	cn.removeIdle()
+	cn.transport.Close()
+	cn.detach()
 	return true
 }
 
-// abortSilent ends the connection that has been silent for longest; false: none is.
+// abortSilent aborts the connection that has been silent for longest. It returns false if there is none.
 func (f *Fleet) abortSilent() bool {
-	var silent *wire
+	var longestSilent *conn
 	for _, g := range f.groups.All() {
-		if len(g.kept) > 0 && (silent == nil || g.kept[0].call.wrote < silent.call.wrote) {
-			silent = g.kept[0]
+		if len(g.silent) > 0 && (longestSilent == nil || g.silent[0].call.writtenAt < longestSilent.call.writtenAt) {
+			longestSilent = g.silent[0]
 		}
 	}
-	if silent == nil {
+	if longestSilent == nil {
 		return false
 	}
-	silent.abort()
+	longestSilent.abort()
 	return true
 }
 
-// serve opens connections for calls that wait where there was no room for one.
-func (f *Fleet) serve() {
+// dialForWaiting opens connections for calls that had to wait because of the connection limit.
+func (f *Fleet) dialForWaiting() {
 	for _, g := range f.groups.All() {
 		g.dial()
 	}
 }
 
-// Out is the number of attempts that may run on some worker group.
-func (f *Fleet) Out() int { return len(f.attempts) }
+// InFlight is the number of attempts that have not ended.
+func (f *Fleet) InFlight() int { return len(f.attempts) }
 
 // Send starts an attempt.
 func (f *Fleet) Send(s coordinator.Attempt) {
 	g, _ := f.groups.Get(s.Engine)
-	a := &attempt{Attempt: s, f: f, g: g, sent: f.Now()}
+	a := &attempt{Attempt: s, fleet: f, group: g, startedAt: f.Now()}
 	a.begin()
 }
 
-// Cancel gives an attempt up. Its end comes once it can't be out any more.
+// Cancel cancels an attempt, if it is in flight. Watcher.Ended follows once the attempt is proven to have ended.
 func (f *Fleet) Cancel(id string, n int) {
-	if a := f.attempts[key{id, n}]; a != nil {
-		a.giveUp(link.GivenUp)
+	if a := f.attempts[attemptKey{id, n}]; a != nil {
+		a.cancel(link.Cancelled)
 	}
 }
 
-// Probe asks a worker group for its report.
+// Probe asks a worker group for its load report.
 func (f *Fleet) Probe(engine string) {
 	g, _ := f.groups.Get(engine)
 	sent := f.Now()
-	tell := func(r *reply, e link.End) {
-		p := coordinator.Outcome{Engine: engine, End: e, Took: f.Now() - sent}
+	report := func(r *reply, e link.EndReason) {
+		outcome := coordinator.Outcome{Engine: engine, End: e, Took: f.Now() - sent}
 		if r != nil {
-			p.Report = r.report
+			outcome.Report = r.report
 			if r.status != 200 {
-				p.End = link.Full
+				outcome.End = link.Full
 			}
 		}
-		f.Watcher.Probed(p)
+		f.Watcher.Probed(outcome)
 	}
 	if g == nil || g.Addr == "" {
-		tell(nil, link.Unreached)
+		report(nil, link.Unreachable)
 		return
 	}
-	g.start(&call{build: func() []byte { return request("GET", "/busy", g.Addr, "", nil) }, within: probeWithin, done: tell})
+	g.start(&call{build: func() []byte { return buildRequest("GET", "/busy", g.Addr, "", nil) },
+		timeout: probeTimeout, done: report})
 }
 
-// request makes the bytes of a call.
-func request(method, path, host, body string, headers []string) []byte {
+// buildRequest returns the bytes of an HTTP request; headers holds names and values in turn.
+func buildRequest(method, path, host, body string, headers []string) []byte {
 	var b strings.Builder
 	b.Grow(256 + len(body))
 	b.WriteString(method + " " + path + " HTTP/1.1\r\nHost: " + host + "\r\n")
--- a/internal/rest/pool.go
+++ b/internal/rest/pool.go
@@ -10,456 +10,471 @@
 	"thymeway/internal/logs"
 )
 
-// call is one call to a worker group. done comes once, unless the call is dropped.
+// call is one HTTP call to a worker group. done is called once, unless the call is abandoned. The connection of a call that
+// keeps a query alive stays open until the call is settled.
 type call struct {
-	g       *group
-	build   func() []byte // the bytes, made when they are written; nil calls it off
-	within  float64       // ms for the answer, from when the call is written
-	done    func(r *reply, e link.End)
-	late    func(r *reply) // after done told of silence: the answer that came all the same; nil: none is looked at
-	stays   bool           // it concerns a query that may run there: it waits for an open connection
-	asks    *query         // the query that it keeps alive: its connection is kept until it is known what became of it
-	wrote   float64        // when it was written
-	wire    int            // the connection that it was written to, for the log
-	after   bool           // it was written when its query's POST had come, or was known never to come
-	settled bool           // it has come, or never will
-	timer   deadline.Entry // for a connection, then for the answer
+	group            *group
+	build            func() []byte // returns the bytes just before they are written; nil withdraws the call
+	timeout          float64       // for the answer, in ms from when the call is written
+	done             func(r *reply, e link.EndReason)
+	lateAnswer       func(r *reply) // called with an answer that arrives after the timeout; nil ignores it
+	waitsForConn     bool           // concerns a query that may be running, so a refused connection does not fail it
+	keepsAlive       *query         // the query that the call keeps alive, if any
+	writtenAt        float64        // when the call was written
+	connNumber       int            // the connection that the call was written to, for the log
+	writtenAfterPost bool           // the call was written after the query's POST was settled
+	settled          bool           // the call has arrived or never will
+	timer            deadline.Entry // limits the wait for a connection, then for the answer
 }
 
-// group is a worker group's connections and the calls that wait for one.
+// group holds the connections to one worker group and the calls that wait for a connection.
 type group struct {
-	directory.Place
-	f        *Fleet
-	idle     []*wire // the last used last
-	held     *wire   // whose answer is being taken
-	waiting  []*call // in the order in which they came
-	dialing  int
-	pausing  int            // connections that will be free in a moment
-	wires    int            // connections, those on their way too
-	kept     []*wire        // that fell silent under a call that keeps a query alive, the first one first
-	reopen   deadline.Entry // set after a refusal: no connection is asked for before
-	broken   int            // connections in a row that were reset as they came up
-	ranAt    float64        // when the latest call was written that was answered: the process ran then or later
-	refuses  bool           // its latest connection was refused: it does not hang with an open listener
-	attempts int
-	queries  map[string]*query // by the request's id
+	directory.Record
+	fleet        *Fleet
+	idle         []*conn // most recently used last
+	answering    *conn   // the connection whose answer is being processed
+	waiting      []*call // in order of arrival
+	dialing      int
+	pausing      int            // connections that pause after an answer and are then free for the next call
+	conns        int            // all connections, including those being established
+	silent       []*conn        // connections whose keep-alive call timed out, longest silent first
+	redialTimer  deadline.Entry // scheduled after a refused connection; no connection is opened before it fires
+	resets       int            // consecutive connections that were reset while being established
+	lastRanAt    float64        // when the latest answered call was written: the process was running then or later
+	refusing     bool           // the latest connection was refused, so the process is not merely hanging with an open listener
+	attemptCount int
+	queries      map[string]*query // by request id
 }
 
-// wire is a connection to a worker group.
-type wire struct {
-	g       *group
-	number  int // for the log
-	addr    string
-	c       link.Conn
-	parser  parser
-	call    *call
-	begun   bool // a part of an answer has come
-	deaf    bool // what comes is of no use: it is kept for its end only
-	pausing bool
-	timer   deadline.Entry // ends its pause, or closes it when idle for long
+// conn is a connection to a worker group.
+type conn struct {
+	group        *group
+	number       int // for the log
+	addr         string
+	transport    link.Conn
+	parser       parser
+	call         *call
+	answerBegun  bool // part of an answer has arrived
+	ignoresInput bool // input is discarded: the connection is kept only to learn of its end
+	pausing      bool
+	timer        deadline.Entry // ends the pause, or closes the connection after a long idle or silent time
 }
 
-// start writes a call to an idle connection, or waits for one that comes up or falls free.
+// start writes a call to an idle connection, or queues it until a connection is established or becomes free.
 func (g *group) start(c *call) {
-	c.g = g
-	if g.Addr == "" { // its process has ended: another one listens there
-		c.done(nil, link.Refused)
+	c.group = g
+	if g.Addr == "" { // the process has ended: another one listens at its address
+		c.done(nil, link.ConnRefused)
 		return
 	}
-	if w := g.held; w != nil {
-		g.held = nil
-		w.write(c)
+	if cn := g.answering; cn != nil {
+		g.answering = nil
+		cn.writeCall(c)
 		return
 	}
 	for n := len(g.idle); n > 0; n = len(g.idle) {
-		w := g.idle[n-1]
-		w.unidle()
-		// Danger: what came since, a reset or bytes that belong to no call, would spoil this one.
-		if w.c.Quiet() {
-			w.write(c)
+		cn := g.idle[n-1]
+		cn.removeIdle()
+		// Danger: a reset or stray bytes that have arrived in the meantime would be taken for the answer to this call.
+		if cn.transport.Idle() {
+			cn.writeCall(c)
 			return
 		}
-		w.close()
+		cn.close()
 	}
 	c.timer.Do = func() {
-		e := link.Unreached
+		e := link.Unreachable
 		if g.dialing == 0 {
-			e = link.Crowded
+			e = link.NoDescriptor
 		}
-		g.fail(c, e)
+		g.failWaiting(c, e)
 	}
-	g.f.Deadlines.Set(&c.timer, g.f.Now()+g.f.ConnectTimeout)
+	g.fleet.Deadlines.Set(&c.timer, g.fleet.Now()+g.fleet.ConnectTimeout)
 	g.waiting = append(g.waiting, c)
 	g.dial()
 }
 
-// dial opens a connection for a call that waits and has none on its way, if there is room for one. Else the call
-// takes one that falls free, or runs out of time.
+// dial opens a connection if a waiting call has none under way and the connection limit allows it. Otherwise the call takes a
+// connection that becomes free, or times out.
 func (g *group) dial() {
-	if g.dialing+g.pausing >= len(g.waiting) || g.reopen.Waits() || !g.f.room() {
+	if g.dialing+g.pausing >= len(g.waiting) || g.redialTimer.Scheduled() || !g.fleet.ensureConnCapacity() {
 		return
 	}
 	g.dialing++
-	g.wires++
-	g.f.wires++
-	g.f.dials++
-	g.f.Dialer.Dial(g.Addr, &wire{g: g, number: g.f.dials, addr: g.Addr})
+	g.conns++
+	g.fleet.conns++
+	g.fleet.dialCount++
+	g.fleet.Dialer.Dial(g.Addr, &conn{group: g, number: g.fleet.dialCount, addr: g.Addr})
 }
 
-// fail ends a call that still waits for a connection.
-func (g *group) fail(c *call, e link.End) {
-	if g.forget(c) {
+// failWaiting fails a call that still waits for a connection.
+func (g *group) failWaiting(c *call, e link.EndReason) {
+	if g.removeWaiting(c) {
 		c.done(nil, e)
 	}
 }
 
-// refuse ends the first call that a connection was opened for. Danger: one that drains refuses connections and runs
-// its queries on; what concerns those waits for a connection that is open.
-func (g *group) refuse(e link.End) {
+// failFirstWaiting fails the first waiting call that the failed connection was meant for. Danger: a draining worker group refuses
+// connections and goes on running its queries; calls that concern those queries keep waiting for an open connection.
+func (g *group) failFirstWaiting(e link.EndReason) {
 	for _, c := range g.waiting {
-		if !c.stays || e != link.Refused || g.replaced() {
-			g.fail(c, e)
+		if !c.waitsForConn || e != link.ConnRefused || g.replaced() {
+			g.failWaiting(c, e)
 			return
 		}
 	}
 }
 
-// replaced tells whether another process listens at the address: the one before has ended. Danger: a refusal proves no
-// such thing, as one that drains refuses too and runs its queries on; nor do connections that were reset.
+// replaced reports whether another process listens at the address, which proves that this group's process has ended.
+// Danger: a refused connection does not prove that, as a draining worker group also refuses connections and goes on running
+// its queries. Nor does a connection that was reset.
 func (g *group) replaced() bool { return g.Addr == "" }
 
-// forget takes a call from the line.
-func (g *group) forget(c *call) bool {
+// removeWaiting removes a call from the waiting ones and reports whether it was among them.
+func (g *group) removeWaiting(c *call) bool {
 	for i, x := range g.waiting {
 		if x == c {
 			g.waiting = append(g.waiting[:i:i], g.waiting[i+1:]...)
-			g.f.Deadlines.Clear(&c.timer)
+			g.fleet.Deadlines.Cancel(&c.timer)
 			return true
 		}
 	}
 	return false
 }
 
-// withdraw ends the attempts that still wait for a connection: the worker group takes nothing new.
-func (g *group) withdraw() {
+// finishUnsent ends the attempts whose POST still waits for a connection, as the worker group accepts no new queries.
+func (g *group) finishUnsent() {
 	for _, id := range slices.Sorted(maps.Keys(g.queries)) {
 		for _, a := range slices.Clone(g.queries[id].attempts) {
 			if a.postedAt == 0 {
-				a.finish(link.Over)
+				a.finish(link.Expired)
 			}
 		}
 	}
 }
 
-// Left tells whether nothing of the group's is open or out.
-func (g *group) Left() bool { return g.wires == 0 && g.attempts == 0 && len(g.waiting) == 0 }
+// Unused reports whether the group has no connection, attempt or waiting call.
+func (g *group) Unused() bool { return g.conns == 0 && g.attemptCount == 0 && len(g.waiting) == 0 }
 
-// Lose ends what waits, and what was given up: another one has the group's address.
-func (g *group) Lose() {
+// AddressTaken ends cancelled attempts and waiting calls, as another process now has the group's address.
+func (g *group) AddressTaken() {
 	for _, id := range slices.Sorted(maps.Keys(g.queries)) {
 		for _, a := range slices.Clone(g.queries[id].attempts) {
 			if a.cancelled {
-				a.finish(a.reason)
+				a.finish(a.cancelReason)
 			}
 		}
 	}
 	for len(g.waiting) > 0 {
-		g.fail(g.waiting[0], link.Refused)
+		g.failWaiting(g.waiting[0], link.ConnRefused)
 	}
 }
 
-// Leave makes nothing of the group's be used any more: it has gone, or another one has its address.
-func (g *group) Leave() {
+// CloseIdle closes the idle connections, as the worker group was removed or its address has changed hands.
+func (g *group) CloseIdle() {
 	for len(g.idle) > 0 {
-		w := g.idle[0]
-		w.unidle()
-		w.close()
+		cn := g.idle[0]
+		cn.removeIdle()
+		cn.close()
 	}
 }
 
-// drop makes a call come to nothing. What was written is answered on its connection, and nobody looks.
-func (c *call) drop() {
-	if !c.g.forget(c) {
-		c.done = func(*reply, link.End) {}
+// abandon ignores the outcome of a call. If it was written already, its answer is still read from the connection and dropped.
+func (c *call) abandon() {
+	if !c.group.removeWaiting(c) {
+		c.done = func(*reply, link.EndReason) {}
 	}
 }
 
-// waits tells whether a call still waits for a connection.
-func (c *call) waits() bool { return slices.Contains(c.g.waiting, c) }
+// isWaiting reports whether a call still waits for a connection.
+func (c *call) isWaiting() bool { return slices.Contains(c.group.waiting, c) }
 
-func (w *wire) write(c *call) {
-	f := w.g.f
+// writeCall builds a call, writes it and starts its timeout.
+func (cn *conn) writeCall(c *call) {
+	f := cn.group.fleet
 	b := c.build()
 	if b == nil {
-		w.rest(0)
-		c.done(nil, link.Unreached)
+		cn.makeAvailable(0)
+		c.done(nil, link.Unreachable)
 		return
 	}
-	w.call, c.wrote, c.wire = c, f.Now(), w.number
+	cn.call, c.writtenAt, c.connNumber = c, f.Now(), cn.number
 	c.timer.Do = func() {
-		// Danger: a machine that is cut off keeps its connections open and says nothing.
-		if c.asks == nil {
-			w.close()
-			w.end(link.Silent)
+		// Danger: connections to a machine that is cut off from the network stay open without any sign of failure.
+		if c.keepsAlive == nil {
+			cn.close()
+			cn.failCall(link.NoAnswer)
 			return
 		}
 		done := c.done
-		c.done = func(r *reply, _ link.End) {
-			if r != nil && c.late != nil {
-				c.late(r)
+		c.done = func(r *reply, _ link.EndReason) {
+			if r != nil && c.lateAnswer != nil {
+				c.lateAnswer(r)
 			}
 		}
-		w.keep()
-		done(nil, link.Silent)
+		cn.keepSilent()
+		done(nil, link.NoAnswer)
 	}
-	f.Deadlines.Set(&c.timer, f.Now()+c.within)
-	if c.asks != nil {
-		c.asks.written()
+	f.Deadlines.Set(&c.timer, f.Now()+c.timeout)
+	if c.keepsAlive != nil {
+		c.keepsAlive.callWritten()
 	}
-	w.c.Write(b)
+	cn.transport.Write(b)
 }
 
-// keep leaves a connection open whose call has no answer yet. Danger: the system goes on sending what was written to a
-// connection that we close, and never tells what became of it; a query would start, or live on, once the way is clear.
-func (w *wire) keep() {
-	g := w.g
-	g.kept = append(g.kept, w)
-	w.timer.Do = func() {
-		w.abort()
-		g.f.serve()
-		g.f.forget(g)
-	}
-	g.f.Deadlines.Set(&w.timer, g.f.Now()+keptMost)
+// keepSilent keeps a connection open whose call has timed out. Danger: after a close the operating system goes on sending
+// what was written and never reports whether it arrived; a query could then start, or be kept alive, once the network
+// recovers.
+func (cn *conn) keepSilent() {
+	g := cn.group
+	g.silent = append(g.silent, cn)
+	cn.timer.Do = func() {
+		cn.abort()
+		g.fleet.dialForWaiting()
+		g.fleet.removeIfUnused(g)
+	}
+	g.fleet.Deadlines.Set(&cn.timer, g.fleet.Now()+maxConnSilence)
 }
 
-// unkeep ends that.
-func (w *wire) unkeep() {
-	if i := slices.Index(w.g.kept, w); i >= 0 {
-		w.g.kept = slices.Delete(w.g.kept, i, i+1)
-		w.g.f.Deadlines.Clear(&w.timer)
+// removeSilent takes the connection off the silent ones, if it is among them.
+func (cn *conn) removeSilent() {
+	if index := slices.Index(cn.group.silent, cn); index >= 0 {
+		cn.group.silent = slices.Delete(cn.group.silent, index, index+1)
+		cn.group.fleet.Deadlines.Cancel(&cn.timer)
 	}
 }
 
-// abort has the system send nothing more of what was written. What is on the network still may come for a while.
-func (w *wire) abort() {
-	f := w.g.f
-	f.Faults.Add("engine-aborted", "engine", w.g.ID, "addr", w.addr, "silent", f.Now()-w.call.wrote)
-	w.c.Abort()
-	w.off()
-	c := w.call
-	w.call = nil
+// abort makes the operating system discard what it has not sent yet. What is already in the network may still arrive for up to
+// maxSegmentLifetime, so the call is settled only after that.
+func (cn *conn) abort() {
+	f := cn.group.fleet
+	f.Faults.Add("engine-aborted", "engine", cn.group.ID, "addr", cn.addr, "silent", f.Now()-cn.call.writtenAt)
+	cn.transport.Abort()
+	cn.detach()
+	c := cn.call
+	cn.call = nil
 	c.timer.Do = c.settle
-	f.Deadlines.Set(&c.timer, f.Now()+segmentLife)
+	f.Deadlines.Set(&c.timer, f.Now()+maxSegmentLifetime)
 }
 
-// rest takes the next call after a pause, or waits for one.
-func (w *wire) rest(pause float64) {
-	g := w.g
-	if g.Gone || w.addr != g.Addr {
-		w.close()
+// makeAvailable uses the connection for the next waiting call, after a pause in ms, or adds it to the idle ones. It closes a
+// connection of a worker group that was removed or has another address.
+func (cn *conn) makeAvailable(pause float64) {
+	g := cn.group
+	if g.Removed || cn.addr != g.Addr {
+		cn.close()
 		return
 	}
 	if pause > 0 {
-		w.pausing = true
+		cn.pausing = true
 		g.pausing++
-		w.timer.Do = func() {
-			w.awake()
-			if w.c.Quiet() {
-				w.rest(0)
+		cn.timer.Do = func() {
+			cn.endPause()
+			if cn.transport.Idle() {
+				cn.makeAvailable(0)
 			} else {
-				w.close()
+				cn.close()
 			}
 		}
-		g.f.Deadlines.Set(&w.timer, g.f.Now()+pause)
+		g.fleet.Deadlines.Set(&cn.timer, g.fleet.Now()+pause)
 		return
 	}
 	if len(g.waiting) > 0 {
 		c := g.waiting[0]
-		g.forget(c)
-		w.write(c)
+		g.removeWaiting(c)
+		cn.writeCall(c)
 		return
 	}
-	g.idle = append(g.idle, w)
-	w.timer.Do = func() {
-		w.unidle()
-		w.close()
+	g.idle = append(g.idle, cn)
+	cn.timer.Do = func() {
+		cn.removeIdle()
+		cn.close()
 	}
-	g.f.Deadlines.Set(&w.timer, g.f.Now()+g.f.ConnIdle)
-	g.f.serve()
+	g.fleet.Deadlines.Set(&cn.timer, g.fleet.Now()+g.fleet.ConnIdleTimeout)
+	g.fleet.dialForWaiting()
 }
 
-// awake ends the pause.
-func (w *wire) awake() {
-	if w.pausing {
-		w.pausing = false
-		w.g.pausing--
+// endPause ends the pause after an answer.
+func (cn *conn) endPause() {
+	if cn.pausing {
+		cn.pausing = false
+		cn.group.pausing--
 	}
 }
 
-func (w *wire) unidle() {
-	w.g.f.Deadlines.Clear(&w.timer)
-	for i, x := range w.g.idle {
-		if x == w {
-			w.g.idle = append(w.g.idle[:i:i], w.g.idle[i+1:]...)
+// removeIdle takes the connection off the idle ones and stops its timer.
+func (cn *conn) removeIdle() {
+	cn.group.fleet.Deadlines.Cancel(&cn.timer)
+	for i, x := range cn.group.idle {
+		if x == cn {
+			cn.group.idle = append(cn.group.idle[:i:i], cn.group.idle[i+1:]...)
 			return
 		}
 	}
 }
 
-// close ends an open connection from our side.
-func (w *wire) close() {
-	w.c.Close()
-	w.gone()
+// close closes an open connection.
+func (cn *conn) close() {
+	cn.transport.Close()
+	cn.discard()
 }
 
-// gone lets others have the place of a connection that is none any more.
-func (w *wire) gone() {
-	w.off()
-	w.g.f.serve()
-	w.g.f.forget(w.g)
+// discard stops counting a closed connection, so that a waiting call may open another one in its place.
+func (cn *conn) discard() {
+	cn.detach()
+	cn.group.fleet.dialForWaiting()
+	cn.group.fleet.removeIfUnused(cn.group)
 }
 
-func (w *wire) off() {
-	w.awake()
-	w.unkeep()
-	w.g.f.Deadlines.Clear(&w.timer)
-	w.g.wires--
-	w.g.f.wires--
+// detach stops the timer of a closed connection and removes it from all counts.
+func (cn *conn) detach() {
+	cn.endPause()
+	cn.removeSilent()
+	cn.group.fleet.Deadlines.Cancel(&cn.timer)
+	cn.group.conns--
+	cn.group.fleet.conns--
 }
 
-// Opened comes when the connection is up.
-func (w *wire) Opened(c link.Conn) {
-	w.g.dialing--
-	w.g.refuses = false
-	w.c = c
-	w.rest(0)
-	w.g.reached()
+// Opened implements link.Handler: the connection was established.
+func (cn *conn) Opened(c link.Conn) {
+	cn.group.dialing--
+	cn.group.refusing = false
+	cn.transport = c
+	cn.makeAvailable(0)
+	cn.group.retryDeletes()
 }
 
-// Received takes a part of an answer.
-func (w *wire) Received(b []byte) {
-	f := w.g.f
-	if w.deaf {
+// Received implements link.Handler: it parses bytes of an answer and completes the call with it.
+func (cn *conn) Received(b []byte) {
+	f := cn.group.fleet
+	if cn.ignoresInput {
 		return
 	}
-	if w.call == nil {
-		f.Faults.Add("engine-unasked", "engine", w.g.ID, "addr", w.addr, "bytes", len(b))
-		w.unidle()
-		w.close()
+	if cn.call == nil {
+		f.Faults.Add("engine-unasked", "engine", cn.group.ID, "addr", cn.addr, "bytes", len(b))
+		cn.removeIdle()
+		cn.close()
 		return
 	}
-	r, err := w.parser.take(b)
+	r, err := cn.parser.feed(b)
 	if err != nil {
-		f.Faults.Add("engine-garbled", "engine", w.g.ID, "addr", w.addr, "bytes", len(b), "error", err)
-		w.garbled()
+		f.Faults.Add("engine-garbled", "engine", cn.group.ID, "addr", cn.addr, "bytes", len(b), "error", err)
+		cn.handleMalformed()
 		return
 	}
 	if r == nil {
-		if !w.begun && !slices.Contains(w.g.kept, w) { // danger: an answer that stops short looks like one that takes its time
-			w.begun = true
-			f.Deadlines.Set(&w.call.timer, f.Now()+restWithin)
+		if !cn.answerBegun && !slices.Contains(cn.group.silent, cn) {
+			// Danger: a truncated answer looks like a slow one, so the rest of an answer has a timeout of its own.
+			cn.answerBegun = true
+			f.Deadlines.Set(&cn.call.timer, f.Now()+partialAnswerTimeout)
 		}
 		return
 	}
-	w.begun = false
-	w.unkeep()
-	c := w.call
-	w.call = nil
-	f.Deadlines.Clear(&c.timer)
-	w.g.broken, w.g.ranAt = 0, max(w.g.ranAt, c.wrote)
+	cn.answerBegun = false
+	cn.removeSilent()
+	c := cn.call
+	cn.call = nil
+	f.Deadlines.Cancel(&c.timer)
+	cn.group.resets, cn.group.lastRanAt = 0, max(cn.group.lastRanAt, c.writtenAt)
 	c.settle()
-	if r.close {
-		w.close()
+	if r.closeConn {
+		cn.close()
 		c.done(r, link.Served)
 		return
 	}
-	// The answer goes first: what it asks next goes to this connection, and not to a new one.
-	w.g.held = w
+	// The answer is processed before the connection is made available, so that a follow-up call uses it and opens no new one.
+	cn.group.answering = cn
 	c.done(r, link.Served)
-	if w.g.held != w {
+	if cn.group.answering != cn {
 		return
 	}
-	w.g.held = nil
+	cn.group.answering = nil
 	if r.status == 202 {
-		w.rest(0)
-	} else { // danger: a second copy of it may follow, and would be read as the next answer: as an end, as a DELETE's
-		w.rest(extraWithin)
+		cn.makeAvailable(0)
+	} else {
+		// Danger: a second copy of the answer may follow, and would be taken for the answer to the next call, for example as
+		// the end of another query or as the answer to a DELETE.
+		cn.makeAvailable(trailingBytesPause)
 	}
 }
 
-// garbled ends a connection with bytes that can't be read. They are no word on the call, which may still be on its way:
-// the other side's end of the connection, behind ours, tells that it has read or will never read it.
-func (w *wire) garbled() {
-	c := w.call
-	if c.asks == nil {
-		w.close()
-		w.end(link.Garbled)
+// handleMalformed ends a connection that brought unreadable bytes. They don't show what became of the call, which may not
+// even have arrived yet. So for a call that keeps a query alive only this side of the connection is closed: once the other
+// side closes in turn, it has read the call or never will.
+func (cn *conn) handleMalformed() {
+	c := cn.call
+	if c.keepsAlive == nil {
+		cn.close()
+		cn.failCall(link.Malformed)
 		return
 	}
-	w.deaf = true
-	w.c.Shut()
-	w.g.f.Deadlines.Clear(&c.timer)
-	if !slices.Contains(w.g.kept, w) {
-		w.keep()
+	cn.ignoresInput = true
+	cn.transport.CloseWrite()
+	cn.group.fleet.Deadlines.Cancel(&c.timer)
+	if !slices.Contains(cn.group.silent, cn) {
+		cn.keepSilent()
 	}
 	done := c.done
-	c.done = func(*reply, link.End) {}
-	done(nil, link.Garbled)
+	c.done = func(*reply, link.EndReason) {}
+	done(nil, link.Malformed)
 }
 
-// spoil ends the connection whose answer is being taken: it is of no further use.
-func (g *group) spoil() {
-	if w := g.held; w != nil {
-		g.held = nil
-		w.close()
+// closeAnswering closes the connection whose answer is being processed, as that answer was invalid.
+func (g *group) closeAnswering() {
+	if cn := g.answering; cn != nil {
+		g.answering = nil
+		cn.close()
 	}
 }
 
-// Closed comes when the connection ends by itself, or did not come up.
-func (w *wire) Closed(e link.End) {
-	if w.c != nil {
-		late := slices.Contains(w.g.kept, w)
-		w.unidle()
-		w.gone()
-		c := w.call
-		if c != nil && c.asks != nil {
-			logs.Trace("closed-under", c.asks.id, "engine", w.g.ID, "end", e, "after", w.g.f.Now()-c.wrote)
-			if !late {
+// Closed implements link.Handler: the connection was ended by the other side or by an error, or could not be established.
+func (cn *conn) Closed(e link.EndReason) {
+	if cn.transport != nil {
+		wasSilent := slices.Contains(cn.group.silent, cn)
+		cn.removeIdle()
+		cn.discard()
+		c := cn.call
+		if c != nil && c.keepsAlive != nil {
+			logs.Trace("closed-under", c.keepsAlive.id, "engine", cn.group.ID, "end", e,
+				"after", cn.group.fleet.Now()-c.writtenAt)
+			if !wasSilent {
 				c.settle()
 			}
 		}
-		w.end(e)
-		if late {
-			// Danger: a cut that ends may reset a connection ahead of what was held up on the way.
+		cn.failCall(e)
+		if wasSilent {
+			// Danger: when a network partition ends, a reset may arrive before data of the call that was delayed in the
+			// network, so the call is settled only later.
 			c.timer.Do = c.settle
-			w.g.f.Deadlines.Set(&c.timer, w.g.f.Now()+w.g.f.ConnectTimeout)
+			cn.group.fleet.Deadlines.Set(&c.timer, cn.group.fleet.Now()+cn.group.fleet.ConnectTimeout)
 		}
 		return
 	}
-	g := w.g
+	g := cn.group
 	g.dialing--
-	w.off()
-	g.refuses = e == link.Refused
-	if g.refuses {
-		g.reopen.Do = g.dial
-		g.f.Deadlines.Set(&g.reopen, g.f.Now()+refusedPause)
-	}
-	// The first in line stands for those that this connection was opened for.
-	if len(g.waiting) > g.dialing && w.addr == g.Addr {
-		// One that was reset as it came up tells nothing of the worker group: another one is opened.
-		if g.broken++; e == link.Refused || e == link.Unreached || g.broken > mostBroken {
-			g.refuse(e)
+	cn.detach()
+	g.refusing = e == link.ConnRefused
+	if g.refusing {
+		g.redialTimer.Do = g.dial
+		g.fleet.Deadlines.Set(&g.redialTimer, g.fleet.Now()+refusedPause)
+	}
+	// More calls wait than connections are being established: the first waiting call is taken for the one this connection
+	// was for.
+	if len(g.waiting) > g.dialing && cn.addr == g.Addr {
+		// A connection that was reset while being established says nothing about the worker group, so another one is opened.
+		if g.resets++; e == link.ConnRefused || e == link.Unreachable || g.resets > maxConnResets {
+			g.failFirstWaiting(e)
 		}
 	}
-	g.f.serve()
-	g.f.forget(g)
+	g.fleet.dialForWaiting()
+	g.fleet.removeIfUnused(g)
 }
 
-// end tells the call of a connection that has ended.
-func (w *wire) end(e link.End) {
-	if c := w.call; c != nil {
-		w.call = nil
-		w.g.f.Deadlines.Clear(&c.timer)
+// failCall fails the call on a connection that has ended, if any.
+func (cn *conn) failCall(e link.EndReason) {
+	if c := cn.call; c != nil {
+		cn.call = nil
+		cn.group.fleet.Deadlines.Cancel(&c.timer)
 		c.done(nil, e)
 	}
 }
--- a/internal/rest/proof.go
+++ b/internal/rest/proof.go
@@ -8,131 +8,144 @@
 	"thymeway/internal/link"
 )
 
-// What proves that an attempt is over, in one place. A request has one attempt out, and the requests of a key run one at
-// a time: both rest on the word Ended, which is told of an attempt that was written only once one of these holds.
+// This file holds the rules for when an attempt is proven to have ended. Two guarantees depend on them: a request has at most
+// one attempt in flight, and the requests of one order key run one at a time. Watcher.Ended must therefore not be called for an
+// attempt whose POST was written until one of the proofs below holds.
 //
-// Its POST first has to be fixed: it has come, or it never will. That is so once
-//   - it was answered, or a call for the news of the query found it running;
-//   - its connection was ended by the other side: what was not read by then never is. Where it had been silent, what was held
-//     up on the way may come behind that end, for as long as a connection may take to come up (connectTimeoutMs);
-//   - its connection was given up by ours, and all that the network can hold of it is too old;
-//   - another process listens at the address, by the list.
+// First the POST must be settled: it has arrived at the worker group, or it never will. It is settled once one of these holds:
+//   - The POST was answered, or a poll for the query's status found the query running.
+//   - The other side ended the POST's connection: it will never read what it had not read by then. If the connection had been
+//     silent before, data delayed in the network may still arrive after that end, for as long as a connection may take to be
+//     established (connectTimeoutMs).
+//   - The coordinator aborted the POST's connection, and any segment that the network can still hold has exceeded its maximum
+//     lifetime.
+//   - According to the discovery service, another process listens at the address.
 //
-// Then one of these ends the attempt:
-//   - answered: the answer to its POST is an end, or that to a call for the news which was written after the POST was fixed
-//     (before, it may speak of a time before the POST, or of an attempt before; only the good end of a request's first
-//     attempt can't): a good end whose last page is read, an error, or turned away. Not known, or a page that is lost, may
-//     come of a query dropped just now: it is deleted then, so that both sides take it for over from the same time;
-//   - deleted: a DELETE written after the POST was fixed is answered with 204;
-//   - replaced: another process listens at the address;
-//   - dropped: no call that keeps the query alive can still come, the last one came unasked ms ago, and the worker group has
-//     answered a call written since then, or refuses connections. One that hangs drops nothing, and looks like one that is
-//     cut off.
+// Then one of these proves that the attempt has ended:
+//   - Answered: the POST was answered with a final answer, or a poll written after the POST was settled was. (The answer to an
+//     earlier poll may describe a time before the POST, or a previous attempt; only a complete result for the first attempt of a
+//     request can't.) Final answers are a complete result whose last page has been read, an error, and a rejection without
+//     effect. "Unknown query" or a lost page may mean that the query was dropped only just now: the query is then deleted, so
+//     that both sides consider it ended from the same moment.
+//   - Deleted: a DELETE written after the POST was settled was answered with 204.
+//   - Replaced: another process listens at the address.
+//   - Dropped: no call that keeps the query alive can still arrive, the last one was settled at least unpolledTimeout
+//     ago, and the worker group has answered a call written after that time had passed, or refuses connections. A
+//     worker group that hangs drops nothing, and from outside it can't be told from one that is cut off from the
+//     network.
 //
-// Nothing else is proof: no silence, no refusal (one that drains refuses and runs its queries on), no reset, no list that
-// says it has gone, no answer that can't be read. Until there is proof the attempt keeps its key's place; its client is
-// answered in time all the same. An engine silent for good frees it in the end, as connections are aborted by keptMost.
+// Nothing else is proof: not silence, not a refused connection (a draining worker group refuses connections and goes on running
+// its queries), not a reset, not a list from which the worker group has disappeared, not an unreadable answer. Until there is
+// proof, the attempt keeps blocking its order key; its client is answered in time regardless. A worker group that stays silent
+// forever frees the key in the end, as its connections are aborted after maxConnSilence.
 
-// query is what a worker group may have of one request: the calls that keep it alive, of all attempts there.
+// query tracks what a worker group may hold of one request: the calls that keep the query alive, over all attempts of the request
+// on that worker group.
 type query struct {
-	g        *group
-	id       string
-	open     int            // of these calls, written and neither answered nor ended with their connections
-	stray    deadline.Entry // waits while a DELETE without an answer may still come
-	at       float64        // when the last of them was
-	wrote    float64        // when the last of them was written
-	attempts []*attempt
+	group          *group
+	id             string
+	unsettledCalls int            // keep-alive calls that were written and may still arrive
+	strayDelete    deadline.Entry // scheduled while an unanswered DELETE may still arrive
+	settledAt      float64        // when the latest keep-alive call was settled
+	writtenAt      float64        // when the latest keep-alive call was written
+	attempts       []*attempt
 }
 
-// query is the one of an id, made if there is none.
-func (g *group) query(id string) *query {
+// queryFor returns the query of a request id, and creates it if there is none.
+func (g *group) queryFor(id string) *query {
 	q := g.queries[id]
 	if q == nil {
 		if g.queries == nil {
 			g.queries = map[string]*query{}
 		}
-		q = &query{g: g, id: id}
+		q = &query{group: g, id: id}
 		g.queries[id] = q
 	}
 	return q
 }
 
-// written counts a call that keeps the query alive.
-func (q *query) written() {
-	q.open++
-	q.wrote = q.g.f.Now()
+// callWritten counts a written call that keeps the query alive. The query can't be dropped while the call may still arrive,
+// so the drop checks of its attempts are cancelled.
+func (q *query) callWritten() {
+	q.unsettledCalls++
+	q.writtenAt = q.group.fleet.Now()
 	for _, a := range q.attempts {
-		q.g.f.Deadlines.Clear(&a.lapse)
+		q.group.fleet.Deadlines.Cancel(&a.dropTimer)
 	}
 }
 
-func (q *query) settle() {
-	q.open--
-	q.at = q.g.f.Now()
+// callSettled counts down a keep-alive call that has arrived or never will, and informs the attempts.
+func (q *query) callSettled() {
+	q.unsettledCalls--
+	q.settledAt = q.group.fleet.Now()
 	for _, a := range slices.Clone(q.attempts) {
-		a.settled()
+		a.callSettled()
 	}
-	q.forget()
+	q.removeIfUnused()
 }
 
-// settle takes word that a call has come or never will.
+// settle records that the call has arrived or never will.
 func (c *call) settle() {
-	if c.asks != nil && !c.settled {
+	if c.keepsAlive != nil && !c.settled {
 		c.settled = true
-		c.asks.settle()
+		c.keepsAlive.callSettled()
 	}
 }
 
-// strayed takes word of a DELETE without an answer. Danger: it may come late and end the next attempt there, which then
-// looks like that attempt's error.
-func (q *query) strayed() {
-	q.stray.Do = q.forget
-	q.g.f.Deadlines.Set(&q.stray, q.g.f.Now()+keptMost+segmentLife)
+// deleteUnanswered records that a DELETE got no answer. Danger: the DELETE may arrive late and end the request's next attempt on
+// the same worker group, which then looks like an error of that attempt.
+func (q *query) deleteUnanswered() {
+	q.strayDelete.Do = q.removeIfUnused
+	q.group.fleet.Deadlines.Set(&q.strayDelete, q.group.fleet.Now()+maxConnSilence+maxSegmentLifetime)
 }
 
-func (q *query) forget() {
-	if q.open == 0 && !q.stray.Waits() && len(q.attempts) == 0 && q.g.queries[q.id] == q {
-		delete(q.g.queries, q.id)
+// removeIfUnused removes the query from its group once no call, DELETE or attempt of it is left.
+func (q *query) removeIfUnused() {
+	if q.unsettledCalls == 0 && !q.strayDelete.Scheduled() && len(q.attempts) == 0 && q.group.queries[q.id] == q {
+		delete(q.group.queries, q.id)
 	}
 }
 
-// reached comes as a connection is up: attempts whose DELETE came to nothing try again at once, not after their pause.
-func (g *group) reached() {
+// retryDeletes is called when a connection has been established: attempts whose DELETE failed try again at once instead of after
+// their pause.
+func (g *group) retryDeletes() {
 	for _, id := range slices.Sorted(maps.Keys(g.queries)) {
 		for _, a := range g.queries[id].attempts {
-			if a.tries > 0 && a.control == nil {
-				a.f.Deadlines.Set(&a.again, a.f.Now())
+			if a.deleteTries > 0 && a.deleteCall == nil {
+				a.fleet.Deadlines.Set(&a.retryTimer, a.fleet.Now())
 			}
 		}
 	}
 }
 
-// fixed tells whether the POST has come, or never will.
-func (a *attempt) fixed() bool { return a.known || a.post.settled }
+// postSettled reports whether the POST has arrived or never will.
+func (a *attempt) postSettled() bool { return a.arrived || a.postCall.settled }
 
-// ends tells whether the answer to a call, an end by its form, is the end of this attempt.
-func (a *attempt) ends(c *call, r *reply) bool {
-	return c == a.post || c.after || r.good() && a.Number == 0
+// endsAttempt reports whether a final answer to the call proves the end of this attempt; see the rules at the head of this file.
+func (a *attempt) endsAttempt(c *call, r *reply) bool {
+	return c == a.postCall || c.writtenAfterPost || r.hasResult() && a.Number == 0
 }
 
-// dropped ends the attempt, as its worker group has run since it must have dropped the query. Where that is not known it is
-// looked at again; after hungMost a worker group counts as gone.
-func (a *attempt) dropped() {
-	now, q := a.f.Now(), a.query
-	if a.g.ranAt < q.at+unasked && !a.g.refuses && now < q.wrote+hungMost {
-		a.f.Deadlines.Set(&a.lapse, now+lapseCheck)
+// finishIfDropped finishes the attempt if its worker group has been running since the time when it must have dropped the
+// query. If that is not known yet, it checks again later; a worker group that stays unresponsive for maxUnresponsive is
+// considered gone.
+func (a *attempt) finishIfDropped() {
+	now, q := a.fleet.Now(), a.query
+	if a.group.lastRanAt < q.settledAt+unpolledTimeout && !a.group.refusing && now < q.writtenAt+maxUnresponsive {
+		a.fleet.Deadlines.Set(&a.dropTimer, now+dropCheckInterval)
 		return
 	}
 	if a.cancelled {
-		a.finish(a.reason)
+		a.finish(a.cancelReason)
 	} else {
-		a.finish(link.Silent)
+		a.finish(link.NoAnswer)
 	}
 }
 
-// watch has the attempt end once its query must have been dropped, as nobody can ask for it any more.
-func (a *attempt) watch() {
-	if q := a.query; q != nil && q.open == 0 && !a.over {
-		a.f.Deadlines.Set(&a.lapse, q.at+unasked+unaskedSlack)
+// scheduleDropCheck schedules finishIfDropped for the time when the worker group must have dropped the query, if no call
+// that keeps the query alive can still arrive.
+func (a *attempt) scheduleDropCheck() {
+	if q := a.query; q != nil && q.unsettledCalls == 0 && !a.finished {
+		a.fleet.Deadlines.Set(&a.dropTimer, q.settledAt+unpolledTimeout+unpolledSlack)
 	}
 }
--- a/internal/rest/proof_test.go
+++ b/internal/rest/proof_test.go
@@ -11,95 +11,101 @@
 	"thymeway/internal/tally"
 )
 
-// deaf is a network whose worker groups take connections and say nothing for good.
-type deaf struct {
+// silentNetwork is a network whose worker groups accept connections and never answer.
+type silentNetwork struct {
 	opened, open int
-	later        []func()
+	pendingDials []func()
 }
 
-func (d *deaf) Dial(_ string, h link.Handler) {
-	d.later = append(d.later, func() {
+func (d *silentNetwork) Dial(_ string, h link.Handler) {
+	d.pendingDials = append(d.pendingDials, func() {
 		d.opened++
 		d.open++
-		h.Opened(&ear{d})
+		h.Opened(&silentConn{d})
 	})
 }
 
-type ear struct{ d *deaf }
+// silentConn is an open connection of a silentNetwork.
+type silentConn struct{ network *silentNetwork }
 
-func (e *ear) Write([]byte) {}
-func (e *ear) Close()       { e.d.open-- }
-func (e *ear) Shut()        {}
-func (e *ear) Abort()       { e.d.open-- }
-func (e *ear) Pending() int { return 0 }
-func (e *ear) Quiet() bool  { return true }
+func (e *silentConn) Write([]byte) {}
+func (e *silentConn) Close()       { e.network.open-- }
+func (e *silentConn) CloseWrite()  {}
+func (e *silentConn) Abort()       { e.network.open-- }
+func (e *silentConn) Pending() int { return 0 }
+func (e *silentConn) Idle() bool   { return true }
 
-// ends counts what is told of attempts.
-type ends struct {
+// countingWatcher counts the reports on attempts, by request.
+type countingWatcher struct {
 	ended, overdue map[string]int
 }
 
-func (w *ends) Ended(o coordinator.Outcome)                           { w.ended[o.Request]++ }
-func (w *ends) Overdue(id string)                                     { w.overdue[id]++ }
-func (w *ends) Noted(string, string, int, choice.NoticeKind, float64) {}
-func (w *ends) Probed(coordinator.Outcome)                            {}
+func (w *countingWatcher) Ended(o coordinator.Outcome)                           { w.ended[o.Request]++ }
+func (w *countingWatcher) Overdue(id string)                                     { w.overdue[id]++ }
+func (w *countingWatcher) Noted(string, string, int, choice.NoticeKind, float64) {}
+func (w *countingWatcher) Probed(coordinator.Outcome)                            {}
 
-// Worker groups silent for good hold no more connections than there may be, and nothing of theirs is kept in the end.
-func TestSilentForGood(t *testing.T) {
-	now, d, w := 0.0, &deaf{}, &ends{map[string]int{}, map[string]int{}}
-	q := deadline.New()
-	f := &Fleet{Dialer: d, Deadlines: q, Now: func() float64 { return now }, Watcher: w, Faults: &tally.Tally{Now: func() float64 { return now }},
-		ConnectTimeout: 250, ConnIdle: 10000, MostWires: 20}
+// Guards against a leak: with worker groups that accept connections and never answer, silent connections are kept open and
+// attempts stay unproven. They must not exceed the connection limit, and in the end no attempt, connection, call or
+// deadline may be left.
+func TestPermanentlySilentWorkerGroups(t *testing.T) {
+	now, network, watcher := 0.0, &silentNetwork{}, &countingWatcher{map[string]int{}, map[string]int{}}
+	queue := deadline.New()
+	fleet := &Fleet{Dialer: network, Deadlines: queue, Now: func() float64 { return now }, Watcher: watcher,
+		Faults:         &tally.Tally{Now: func() float64 { return now }},
+		ConnectTimeout: 250, ConnIdleTimeout: 10000, MaxConns: 20}
 	for i := range 3 {
-		f.Know(coordinator.Member{Engine: choice.Engine{ID: fmt.Sprint("s", i)}, Addr: fmt.Sprint("127.0.0.1:410", i)})
+		fleet.Know(coordinator.Member{Engine: choice.Engine{ID: fmt.Sprint("s", i)}, Addr: fmt.Sprint("127.0.0.1:410", i)})
 	}
 	run := func(until float64) {
 		for {
-			for len(d.later) > 0 {
-				todo := d.later
-				d.later = nil
+			for len(network.pendingDials) > 0 {
+				todo := network.pendingDials
+				network.pendingDials = nil
 				for _, do := range todo {
 					do()
 				}
 			}
-			if d.open > 20 {
-				t.Fatalf("%d connections are open", d.open)
+			if network.open > 20 {
+				t.Fatalf("%d connections are open", network.open)
 			}
-			at, ok := q.Next()
+			at, ok := queue.Next()
 			if !ok || at > until {
 				now = until
 				return
 			}
 			now = max(now, at)
-			q.Sweep(now)
+			queue.RunDue(now)
 		}
 	}
-	const most = 200
-	for i := range most {
-		f.Send(coordinator.Attempt{Request: &coordinator.Request{Request: choice.Request{ID: fmt.Sprint("r", i)}}, Engine: fmt.Sprint("s", i%3), Until: now + 3000})
+	const attempts = 200
+	for i := range attempts {
+		fleet.Send(coordinator.Attempt{Request: &coordinator.Request{Request: choice.Request{ID: fmt.Sprint("r", i)}},
+			Engine: fmt.Sprint("s", i%3), Until: now + 3000})
 		run(now + 100)
 	}
 	run(now + 400e3)
 	posted := 0
-	for i := range most {
+	for i := range attempts {
 		id := fmt.Sprint("r", i)
-		posted += w.overdue[id]
-		if w.ended[id] != 1 {
-			t.Errorf("%s ended %d times", id, w.ended[id])
+		posted += watcher.overdue[id]
+		if watcher.ended[id] != 1 {
+			t.Errorf("%s ended %d times", id, watcher.ended[id])
 		}
 	}
 	if posted < 20 {
 		t.Errorf("only %d attempts were written", posted)
 	}
-	if f.Out() != 0 || f.wires != 0 {
-		t.Errorf("%d attempts and %d connections are left", f.Out(), f.wires)
+	if fleet.InFlight() != 0 || fleet.conns != 0 {
+		t.Errorf("%d attempts and %d connections are left", fleet.InFlight(), fleet.conns)
 	}
-	for _, g := range f.groups.All() {
-		if len(g.queries) != 0 || len(g.kept) != 0 || len(g.waiting) != 0 {
-			t.Errorf("%s: %d queries, %d silent connections and %d calls are left", g.ID, len(g.queries), len(g.kept), len(g.waiting))
+	for _, g := range fleet.groups.All() {
+		if len(g.queries) != 0 || len(g.silent) != 0 || len(g.waiting) != 0 {
+			t.Errorf("%s: %d queries, %d silent connections and %d calls are left",
+				g.ID, len(g.queries), len(g.silent), len(g.waiting))
 		}
 	}
-	if _, ok := q.Next(); ok {
+	if _, ok := queue.Next(); ok {
 		t.Error("a deadline is left")
 	}
 }
--- a/internal/rest/reply.go
+++ b/internal/rest/reply.go
@@ -11,74 +11,75 @@
 	"thymeway/internal/http1"
 )
 
-// Limits of what a worker group may write in one answer.
+// Limits of an answer, in bytes unless said otherwise.
 const (
-	mostHead    = 16 << 10
-	mostBody    = 64 << 10
-	mostInterim = 16      // answers with a status of 1xx ahead of one
-	mostKept    = 8 << 10 // bytes of room that a resting connection keeps
+	maxHeadBytes      = 16 << 10
+	maxBodyBytes      = 64 << 10
+	maxInterimAnswers = 16      // number of 1xx answers ahead of the final one
+	maxIdleBuffer     = 8 << 10 // a larger input buffer is released between two answers
 )
 
-// reply is one answer of a worker group.
+// reply is one parsed answer of a worker group.
 type reply struct {
-	status   int
-	noEffect bool
-	pages    int // Page-Count, 0 if absent
-	page     int // Page-No, -1 if absent
-	tell     string
-	figure   float64
-	work     float64
-	peak     float64
-	report   choice.Report
-	close    bool
-	body     []byte
+	status     int
+	noEffect   bool    // X-No-Effect: the query has not run
+	pageCount  int     // Page-Count, 0 if absent
+	pageNumber int     // Page-No, -1 if absent
+	notice     string  // X-Tell: the kind of a progress notice
+	level      float64 // Figure: the level that the notice states
+	workMs     float64
+	peakMB     float64
+	report     choice.Report
+	closeConn  bool
+	body       []byte
 }
 
-// good tells of a good end, whose further pages may still have to be read.
-func (r *reply) good() bool {
-	return r.status == 200 && r.pages > 0 && r.pages <= mostPages && rows(r.body, r.pages == 1)
+// hasResult reports whether the answer is the valid first page of a result; further pages may still have to be fetched.
+func (r *reply) hasResult() bool {
+	return r.status == 200 && r.pageCount > 0 && r.pageCount <= maxPages && validRows(r.body, r.pageCount == 1)
 }
 
-// ends tells of an error, of a query turned away or of one that is not known; of no other status does the protocol know.
-func (r *reply) ends() bool {
+// endsWithoutResult reports whether the answer is an error, which also stands for an unknown query, or a rejection without
+// effect. The protocol has no other status for an end without a result.
+func (r *reply) endsWithoutResult() bool {
 	return r.status == 500 || r.noEffect && (r.status == 503 || r.status == 504)
 }
 
-// parser takes the bytes of a connection as they come and gives whole answers.
+// parser assembles the bytes of a connection into whole answers.
 type parser struct {
-	buf     []byte
-	head    *http1.Head // of the answer whose body is coming
-	body    *http1.Body
-	got     []byte
-	interim int
+	buf            []byte
+	head           *http1.Head // of the answer whose body is being received; else nil
+	body           *http1.Body
+	bodyBytes      []byte
+	interimAnswers int
 }
 
-// take adds bytes and gives the answer that they complete. One call goes at a time, so a further byte belongs to
-// none: the answer is good, and the connection is of no further use.
-func (p *parser) take(b []byte) (*reply, error) {
+// feed adds received bytes and returns the answer that they complete, or nil. As a connection carries one call at a time,
+// bytes behind an answer belong to no call: the answer is valid, but the connection must be closed.
+func (p *parser) feed(b []byte) (*reply, error) {
 	p.buf = append(p.buf, b...)
 	for p.head == nil {
-		h, n, err := http1.ParseResponse(p.buf, http1.Limits{Bytes: mostHead})
+		head, headBytes, err := http1.ParseResponse(p.buf, http1.Limits{Bytes: maxHeadBytes})
 		if errors.Is(err, http1.ErrShort) {
 			return nil, nil
 		}
 		if err != nil {
 			return nil, err
 		}
-		p.buf = append(p.buf[:0], p.buf[n:]...)
-		if h.Status/100 == 1 { // an interim answer: the real one follows
-			if p.interim++; p.interim > mostInterim || h.Status == 101 {
-				return nil, fmt.Errorf("status %d", h.Status)
+		p.buf = append(p.buf[:0], p.buf[headBytes:]...)
+		if head.Status/100 == 1 { // an interim answer; the final one follows
+			if p.interimAnswers++; p.interimAnswers > maxInterimAnswers || head.Status == 101 {
+				return nil, fmt.Errorf("unexpected interim answer with status %d", head.Status)
 			}
 			continue
 		}
-		if p.body, err = h.Body(mostBody); err != nil {
+		if p.body, err = head.Body(maxBodyBytes); err != nil {
 			return nil, err
 		}
-		p.head = h
+		p.head = head
 	}
-	got, used, err := p.body.TakeAll(p.got, p.buf)
-	p.got = got
+	body, used, err := p.body.TakeAll(p.bodyBytes, p.buf)
+	p.bodyBytes = body
 	if err != nil {
 		return nil, err
 	}
@@ -86,61 +87,64 @@
 	if !p.body.Done() {
 		return nil, nil
 	}
-	r := &reply{status: p.head.Status, page: -1, close: p.head.Close || len(p.buf) > 0, body: p.got}
+	r := &reply{status: p.head.Status, pageNumber: -1, closeConn: p.head.Close || len(p.buf) > 0, body: p.bodyBytes}
 	for _, f := range p.head.Fields {
-		if err := r.header(f.Name, f.Value); err != nil {
+		if err := r.setHeader(f.Name, f.Value); err != nil {
 			return nil, fmt.Errorf("header %s: %v", f.Name, err)
 		}
 	}
-	p.head, p.body, p.got, p.interim = nil, nil, nil, 0
-	if p.buf = p.buf[:0]; cap(p.buf) > mostKept {
+	p.head, p.body, p.bodyBytes, p.interimAnswers = nil, nil, nil, 0
+	if p.buf = p.buf[:0]; cap(p.buf) > maxIdleBuffer {
 		p.buf = nil
 	}
 	return r, nil
 }
 
-func (r *reply) header(name, value string) (err error) {
+// setHeader stores a header of the protocol; others are ignored.
+func (r *reply) setHeader(name, value string) (err error) {
 	switch name {
 	case "x-no-effect":
 		r.noEffect = value == "1"
 	case "page-count":
-		if r.pages, err = whole(value); err == nil && (r.pages < 1 || r.pages > 1000) {
-			err = fmt.Errorf("%d pages", r.pages)
+		if r.pageCount, err = parseCount(value); err == nil && (r.pageCount < 1 || r.pageCount > 1000) {
+			err = fmt.Errorf("%d pages, must be 1 to 1000", r.pageCount)
 		}
 	case "page-no":
-		r.page, err = whole(value)
+		r.pageNumber, err = parseCount(value)
 	case "x-tell":
-		r.tell = value
+		r.notice = value
 	case "figure":
-		r.figure, err = number(value)
+		r.level, err = parseNumber(value)
 	case "work-ms":
-		r.work, err = number(value)
+		r.workMs, err = parseNumber(value)
 	case "peak-mb":
-		r.peak, err = number(value)
+		r.peakMB, err = parseNumber(value)
 	case "x-report":
-		r.report, err = report(value)
+		r.report, err = parseReport(value)
 	}
 	return err
 }
 
-func whole(s string) (int, error) {
+// parseCount parses a whole number that is not negative.
+func parseCount(s string) (int, error) {
 	v, err := strconv.Atoi(s)
 	if err != nil || v < 0 {
-		return 0, fmt.Errorf("%.40q is not a whole number", s)
+		return 0, fmt.Errorf("%.40q is not a non-negative whole number", s)
 	}
 	return v, nil
 }
 
-func number(s string) (float64, error) {
+// parseNumber parses a finite number that is not negative.
+func parseNumber(s string) (float64, error) {
 	v, err := strconv.ParseFloat(s, 64)
 	if err != nil || math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
-		return 0, fmt.Errorf("%.40q is not a number", s)
+		return 0, fmt.Errorf("%.40q is not a finite non-negative number", s)
 	}
 	return v, nil
 }
 
-// report reads a load report, under the names of the settings and those of the worker groups.
-func report(s string) (r choice.Report, err error) {
+// parseReport parses a load report. It accepts both the names used in the settings and those used by worker groups.
+func parseReport(s string) (r choice.Report, err error) {
 	if s == "" {
 		return r, nil
 	}
@@ -149,7 +153,7 @@
 		if !ok {
 			return r, fmt.Errorf("%.40q is not name:value", pair)
 		}
-		v, err := number(strings.TrimSpace(text))
+		v, err := parseNumber(strings.TrimSpace(text))
 		if err != nil {
 			return r, err
 		}
