--- a/cmd/thymeway/main.go
+++ b/cmd/thymeway/main.go
@@ -54,7 +54,7 @@
 // run carries a command line out and tells with which code the program ends.
 func run(args []string, getenv func(string) string, out io.Writer, signals <-chan os.Signal) int {
 	var line commands
-	p, err := kong.New(&line, kong.Name("thymeway"), kong.Vars{"own": config.OwnFile}, kong.Writers(out, out),
+	p, err := kong.New(&line, kong.Name("thymeway"), kong.Vars{"own": config.LocalFile}, kong.Writers(out, out),
 		kong.Description("A coordinator in front of a fleet of query engines."))
 	if err != nil {
 		fmt.Fprintln(out, err)
@@ -67,7 +67,7 @@
 	}
 	own := line.Config
 	if getenv("THYMEWAY_INI") == "" && !strings.Contains(strings.Join(args, " "), "--config") {
-		own = config.OwnFile // kong makes an absolute path of it, which is no longer the one that may be missing
+		own = config.LocalFile // kong makes an absolute path of it, which is no longer the one that may be missing
 	}
 	read := func() (config.Config, error) { return config.FromEnvironment(getenv, own) }
 	switch ctx.Command() {
@@ -85,7 +85,7 @@
 			}
 			return 1
 		}
-		slog.SetDefault(logs.New(os.Stderr, c.Own.LogLevel))
+		slog.SetDefault(logs.New(os.Stderr, c.Local.LogLevel))
 		if err := serve(c, read, signals); err != nil {
 			slog.Error("stopped", "error", err)
 			return 1
@@ -133,7 +133,7 @@
 		}
 		return 1
 	}
-	fmt.Fprintf(out, "ok: %s serves %s with %d classes, %d tenants and %.0f MB\n", c.Name, c.Listen, len(c.Choice.Classes), len(c.Choice.Tenants), c.MemoryMB)
+	fmt.Fprintf(out, "ok: %s serves %s with %d classes, %d tenants and %.0f MB\n", c.Name, c.Listen, len(c.Scheduler.Classes), len(c.Scheduler.Tenants), c.MemoryMB)
 	return 0
 }
 
@@ -172,7 +172,7 @@
 	loop.Turn = n.Turn
 	loop.Exhausted = n.FreeDescriptor
 	loop.Ready = func() {
-		slog.Info("ready", "name", c.Name, "listen", strings.Join(n.Listen(), ","), "classes", len(c.Choice.Classes), "rss_kb", memory(os.Getpid(), "VmRSS"))
+		slog.Info("ready", "name", c.Name, "listen", strings.Join(n.Listen(), ","), "classes", len(c.Scheduler.Classes), "rss_kb", memory(os.Getpid(), "VmRSS"))
 		n.Watch.Start()
 	}
 	go func() {
@@ -186,8 +186,8 @@
 			})
 		}
 	}()
-	if c.Own.Metrics != "" {
-		l, err := stdnet.Listen("tcp", c.Own.Metrics)
+	if c.Local.MetricsListen != "" {
+		l, err := stdnet.Listen("tcp", c.Local.MetricsListen)
 		if err != nil {
 			return fmt.Errorf("[metrics] listen: %w", err)
 		}
--- a/cmd/thymeway/main_test.go
+++ b/cmd/thymeway/main_test.go
@@ -30,7 +30,7 @@
 // worker groups in place of its own unless there are none.
 func configure(t testing.TB, file string, members []string, pairs ...string) {
 	t.Helper()
-	s := string(conftest.Text(t))
+	s := string(conftest.ExampleText(t))
 	if len(members) > 0 {
 		s = regexp.MustCompile(`(?s)"members": \[.*?\]`).ReplaceAllLiteralString(s, `"members": [`+strings.Join(members, ",")+`]`)
 	}
@@ -78,7 +78,7 @@
 	write := func(board string) { configure(t, file, nil, "127.0.0.1:8599", board, "127.0.0.1:5499", addr) }
 	one, at := listen(t)
 	write(at)
-	read := func() (config.Config, error) { return config.FromEnvironment(os.Getenv, config.OwnFile) }
+	read := func() (config.Config, error) { return config.FromEnvironment(os.Getenv, config.LocalFile) }
 	c, err := read()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/account/account.go
+++ b/internal/account/account.go
@@ -1,5 +1,5 @@
-// Package account counts what members asked for and what they got, by class and protocol. It belongs to the event loop;
-// others see copies.
+// Package account counts requests, their endings and the value served, by tenant, class and protocol. Its types are used by
+// the event loop only; other goroutines get copies.
 package account
 
 import (
@@ -8,65 +8,67 @@
 	"slices"
 )
 
-// Key is what is counted apart. All three come from the settings and the program, never from what clients wrote.
+// Key identifies the requests that are counted together. Its fields only take values named in the settings or the program,
+// never text sent by clients.
 type Key struct{ Tenant, Class, Protocol string }
 
-// Bounds of the buckets of answers' times, in ms.
-var Bounds = []float64{5, 10, 25, 50, 100, 250, 500, 1000, 2500, 5000, 10000, 20000}
+// LatencyBounds are the upper bounds of the latency buckets, in ms.
+var LatencyBounds = []float64{5, 10, 25, 50, 100, 250, 500, 1000, 2500, 5000, 10000, 20000}
 
-// Counts are those of one key. Every request taken is in one of Served, Refused, Failed and Dropped once it has ended.
+// Counts holds the counters of one key. Once it has ended, each accepted request is in one of Served, Refused, Failed and
+// Dropped.
 type Counts struct {
-	Taken, Repeats                   uint64 // of these, so many were marked as a client's repeat
+	Accepted, MarkedRepeats          uint64 // of the accepted requests, MarkedRepeats were marked as repeats by their client
 	Served, Refused, Failed, Dropped uint64
-	Late                             uint64     // served past the aim
-	Doubted                          uint64     // put on the safe default for their statement
-	Sends                            uint64     // attempts
-	Asked, Earned                    float64    // worth
-	Millis                           float64    // sum of the times to good answers
-	Under                            [13]uint64 // of those, how many in each bucket; the last has no bound
+	Late                             uint64     // served after the latency target
+	Unproven                         uint64     // statement not proven safe to repeat
+	Attempts                         uint64     // attempts sent
+	ValueRequested, ValueServed      float64    // value of the accepted requests and of the results
+	LatencySumMs                     float64    // sum of the latencies of served requests
+	LatencyBuckets                   [13]uint64 // served requests by latency; the last bucket has no upper bound
 }
 
-// Ending is how a request ended for its client.
+// Ending is how a request ended, from the client's view.
 type Ending uint8
 
 // The endings.
 const (
-	Served Ending = iota
-	Refused
-	Failed
-	Dropped
+	Served  Ending = iota
+	Refused        // not answered; a retry does no harm
+	Failed         // ended with an error
+	Dropped        // the client disconnected first
 )
 
-// Book is all counts.
-type Book struct{ of map[Key]*Counts }
+// Counters holds the counts of all keys.
+type Counters struct{ byKey map[Key]*Counts }
 
-// Of are the counts of a key, to be added to.
-func (b *Book) Of(k Key) *Counts {
-	if b.of == nil {
-		b.of = map[Key]*Counts{}
+// CountsFor returns the counts of a key, to be modified by the caller. It creates them if necessary.
+func (b *Counters) CountsFor(k Key) *Counts {
+	if b.byKey == nil {
+		b.byKey = map[Key]*Counts{}
 	}
-	c := b.of[k]
+	c := b.byKey[k]
 	if c == nil {
 		c = &Counts{}
-		b.of[k] = c
+		b.byKey[k] = c
 	}
 	return c
 }
 
-// End counts the end of a request that was worth so much: its time in ms, and by how much of it an answer past the aim
-// counts.
-func (c *Counts) End(e Ending, took, aim, worth, late float64) {
-	switch e {
+// RecordEnd counts the end of a request of the given value. elapsed and target are in ms; a result after target counts for
+// lateShare of the value.
+func (c *Counts) RecordEnd(ending Ending, elapsed, target, value, lateShare float64) {
+	switch ending {
 	case Served:
 		c.Served++
-		c.Millis += took
-		i, _ := slices.BinarySearch(Bounds, took)
-		c.Under[i]++
-		if took > aim {
+		c.LatencySumMs += elapsed
+		i, _ := slices.BinarySearch(LatencyBounds, elapsed)
+		c.LatencyBuckets[i]++
+		if elapsed > target {
 			c.Late++
-			worth *= late
+			value *= lateShare
 		}
-		c.Earned += worth
+		c.ValueServed += value
 	case Refused:
 		c.Refused++
 	case Failed:
@@ -76,31 +78,33 @@
 	}
 }
 
-// Open is how many requests have not ended.
-func (c *Counts) Open() uint64 { return c.Taken - c.Served - c.Refused - c.Failed - c.Dropped }
+// Open returns the number of requests that have not ended.
+func (c *Counts) Open() uint64 { return c.Accepted - c.Served - c.Refused - c.Failed - c.Dropped }
 
-// Add adds another's counts.
+// Add adds the counts of o.
 func (c *Counts) Add(o *Counts) {
-	for _, p := range [][2]*uint64{{&c.Taken, &o.Taken}, {&c.Repeats, &o.Repeats}, {&c.Served, &o.Served}, {&c.Refused, &o.Refused},
-		{&c.Failed, &o.Failed}, {&c.Dropped, &o.Dropped}, {&c.Late, &o.Late}, {&c.Doubted, &o.Doubted}, {&c.Sends, &o.Sends}} {
+	for _, p := range [][2]*uint64{{&c.Accepted, &o.Accepted}, {&c.MarkedRepeats, &o.MarkedRepeats}, {&c.Served, &o.Served},
+		{&c.Refused, &o.Refused}, {&c.Failed, &o.Failed}, {&c.Dropped, &o.Dropped}, {&c.Late, &o.Late},
+		{&c.Unproven, &o.Unproven}, {&c.Attempts, &o.Attempts}} {
 		*p[0] += *p[1]
 	}
-	c.Asked, c.Earned, c.Millis = c.Asked+o.Asked, c.Earned+o.Earned, c.Millis+o.Millis
-	for i := range c.Under {
-		c.Under[i] += o.Under[i]
+	c.ValueRequested, c.ValueServed, c.LatencySumMs =
+		c.ValueRequested+o.ValueRequested, c.ValueServed+o.ValueServed, c.LatencySumMs+o.LatencySumMs
+	for i := range c.LatencyBuckets {
+		c.LatencyBuckets[i] += o.LatencyBuckets[i]
 	}
 }
 
-// Row is a key and a copy of its counts.
+// Row holds a key and a copy of its counts.
 type Row struct {
 	Key
 	Counts
 }
 
-// Rows are copies of all counts, sorted.
-func (b *Book) Rows() []Row {
-	rows := make([]Row, 0, len(b.of))
-	for k, c := range b.of {
+// Rows returns copies of all counts, sorted by key.
+func (b *Counters) Rows() []Row {
+	rows := make([]Row, 0, len(b.byKey))
+	for k, c := range b.byKey {
 		rows = append(rows, Row{k, *c})
 	}
 	slices.SortFunc(rows, func(x, y Row) int {
@@ -109,7 +113,8 @@
 	return rows
 }
 
-// Aim is the time in which an answer is wanted, in ms, of a class with an aim that grows with the work on so many threads.
-func Aim(aim, stretch, work, threads float64) float64 {
-	return aim + stretch*math.Max(work, 0)/math.Max(threads, 1)
+// LatencyTarget returns the latency target in ms of a query with the given work in CPU ms, which runs on the given number
+// of threads: base, and msPerWork for each ms that the work takes on these threads.
+func LatencyTarget(base, msPerWork, work, threads float64) float64 {
+	return base + msPerWork*math.Max(work, 0)/math.Max(threads, 1)
 }
--- a/internal/account/account_test.go
+++ b/internal/account/account_test.go
@@ -6,8 +6,8 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever ends how, each request is counted once: taken is the sum of the endings and of what is open, and adding up
-// two books' counts is counting all in one.
+// Each request must be counted once, however it ends: accepted requests are the sum of the endings and the open requests,
+// and adding two Counts equals counting all requests in one.
 func TestEverythingIsCountedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var one, a, b Counts
@@ -19,12 +19,12 @@
 				half = &b
 			}
 			e := Ending(rapid.IntRange(0, 4).Draw(t, "ending"))
-			took := rapid.Float64Range(0, 50000).Draw(t, "took")
+			elapsed := rapid.Float64Range(0, 50000).Draw(t, "took")
 			for _, c := range []*Counts{&one, half} {
-				c.Taken++
-				c.Asked += 3
+				c.Accepted++
+				c.ValueRequested += 3
 				if e <= Dropped {
-					c.End(e, took, 1000, 3, 0.5)
+					c.RecordEnd(e, elapsed, 1000, 3, 0.5)
 				}
 			}
 			if e <= Dropped {
@@ -32,36 +32,37 @@
 			}
 		}
 		if one.Open() != uint64(n)-ended {
-			t.Fatalf("%d open of %d taken, %d ended", one.Open(), n, ended)
+			t.Fatalf("%d open of %d accepted, %d ended", one.Open(), n, ended)
 		}
 		sum := uint64(0)
-		for _, u := range one.Under {
-			sum += u
+		for _, count := range one.LatencyBuckets {
+			sum += count
 		}
-		if sum != one.Served || one.Earned > one.Asked || one.Earned < 1.5*float64(one.Served) {
+		if sum != one.Served || one.ValueServed > one.ValueRequested || one.ValueServed < 1.5*float64(one.Served) {
 			t.Fatalf("%+v", one)
 		}
-		if a.Add(&b); a.Taken != one.Taken || a.Under != one.Under || a.Late != one.Late || a.Open() != one.Open() {
-			t.Fatalf("%+v, added up %+v", one, a)
+		if a.Add(&b); a.Accepted != one.Accepted || a.LatencyBuckets != one.LatencyBuckets || a.Late != one.Late ||
+			a.Open() != one.Open() {
+			t.Fatalf("counted in one %+v, added %+v", one, a)
 		}
 	})
 }
 
 func TestRows(t *testing.T) {
-	var b Book
-	b.Of(Key{"b", "x", "postgres"}).Taken++
-	b.Of(Key{"a", "x", "postgres"}).Taken++
-	b.Of(Key{"a", "x", "clickhouse"}).Taken++
-	b.Of(Key{"a", "x", "clickhouse"}).Taken++
-	rows := b.Rows()
-	if len(rows) != 3 || rows[0].Protocol != "clickhouse" || rows[0].Taken != 2 || rows[2].Tenant != "b" {
+	var counters Counters
+	counters.CountsFor(Key{"b", "x", "postgres"}).Accepted++
+	counters.CountsFor(Key{"a", "x", "postgres"}).Accepted++
+	counters.CountsFor(Key{"a", "x", "clickhouse"}).Accepted++
+	counters.CountsFor(Key{"a", "x", "clickhouse"}).Accepted++
+	rows := counters.Rows()
+	if len(rows) != 3 || rows[0].Protocol != "clickhouse" || rows[0].Accepted != 2 || rows[2].Tenant != "b" {
 		t.Errorf("%+v", rows)
 	}
-	rows[0].Taken = 99
-	if b.Of(Key{"a", "x", "clickhouse"}).Taken != 2 {
-		t.Error("a copy is the book's own")
+	rows[0].Accepted = 99
+	if counters.CountsFor(Key{"a", "x", "clickhouse"}).Accepted != 2 {
+		t.Error("a row is not a copy")
 	}
-	if Aim(100, 2, 300, 3) != 300 || Aim(100, 2, -5, 0) != 100 {
-		t.Error("aims")
+	if LatencyTarget(100, 2, 300, 3) != 300 || LatencyTarget(100, 2, -5, 0) != 100 {
+		t.Error("wrong latency target")
 	}
 }
--- a/internal/board/board.go
+++ b/internal/board/board.go
@@ -1,4 +1,5 @@
-// Package board speaks the notice board's protocol: numbered changes of the list of worker groups, a line each.
+// Package board is the client of the discovery service, which sends numbered changes of the list of worker groups, one per
+// line.
 package board
 
 import (
@@ -17,23 +18,25 @@
 	"thymeway/internal/starttime"
 )
 
-// Pauses and limits.
+// Timeouts and limits.
 const (
-	silence   = 1700.0 // ms without a line after which the connection counts as broken: one comes each second
-	pauseLow  = 50.0   // ms before the first try to connect again
-	pauseHigh = 1000.0
-	mostLine  = 1 << 20
+	silenceTimeout    = 1700.0 // ms without a line before the connection counts as broken; the service sends one every second
+	minReconnectDelay = 50.0   // ms before the first attempt to reconnect; doubled with each failure
+	maxReconnectDelay = 1000.0 // ms
+	maxLineBytes      = 1 << 20
 )
 
+// event is a line of the protocol in JSON. Without Pool it only carries the latest revision.
 type event struct {
 	Rev  *int64
 	Pool *struct {
 		Complete bool
-		Members  []member
+		Members  []listedEngine
 	}
 }
 
-type member struct {
+// listedEngine is a worker group in an event.
+type listedEngine struct {
 	ID        string
 	HostPort  string `json:"host_port"`
 	Locality  string
@@ -44,32 +47,34 @@
 	UpSinceMs float64 `json:"up_since_ms"`
 }
 
-// list makes the module's list of an event. Starts are still the stamps of the event.
-func (e event) list() (whole bool, out []coordinator.Member, err error) {
+// engines converts the worker groups of an event to the coordinator's form. Their start times are still the timestamps of
+// the event.
+func (e event) engines() (complete bool, list []coordinator.ListedEngine, err error) {
 	for _, m := range e.Pool.Members {
-		x := coordinator.Member{Addr: m.HostPort, Engine: choice.Engine{ID: m.ID, Zone: m.Locality, Kind: m.Flavor,
+		engine := coordinator.ListedEngine{Addr: m.HostPort, Engine: choice.Engine{ID: m.ID, Zone: m.Locality, Kind: m.Flavor,
 			Size: m.Size, Cell: m.Cell, StartedAt: m.UpSinceMs}}
 		switch m.Phase {
 		case "Ready":
 		case "Terminating":
-			x.Status = choice.Draining
+			engine.Status = choice.Draining
 		case "Gone":
-			x.Status = choice.Removed
+			engine.Status = choice.Removed
 		default:
 			return false, nil, fmt.Errorf("phase %.40q is unknown", m.Phase)
 		}
 		if m.ID == "" {
 			return false, nil, fmt.Errorf("id: missing")
 		}
-		if _, err := netip.ParseAddrPort(m.HostPort); err != nil && (x.Status != choice.Removed || m.HostPort != "") {
+		if _, err := netip.ParseAddrPort(m.HostPort); err != nil && (engine.Status != choice.Removed || m.HostPort != "") {
 			return false, nil, fmt.Errorf("host_port: %.60q does not have the form IP:PORT", m.HostPort)
 		}
-		out = append(out, x)
+		list = append(list, engine)
 	}
-	return e.Pool.Complete, out, nil
+	return e.Pool.Complete, list, nil
 }
 
-func parse(line []byte) (e event, err error) {
+// parseEvent decodes a line in JSON.
+func parseEvent(line []byte) (e event, err error) {
 	if err = json.Unmarshal(line, &e); err != nil {
 		return e, err
 	}
@@ -79,37 +84,37 @@
 	return e, nil
 }
 
-// Listener takes the changes in their order.
+// Listener receives the changes of the engine list in order.
 type Listener interface {
-	List(whole bool, members []coordinator.Member)
+	UpdateEngines(complete bool, engines []coordinator.ListedEngine)
 }
 
-// Watch follows the notice board for as long as the program runs.
-type Watch struct {
-	Dialer    link.Dialer
-	Deadlines *deadline.Queue
-	Now       func() float64
-	Listener  Listener
-	Addr      string
-	Connect   float64 // ms in which a connection has to come up
-	WarmAfter float64 // ms in which a worker group warms up
+// Watcher follows the engine list of the discovery service for as long as the program runs.
+type Watcher struct {
+	Dialer         link.Dialer
+	Deadlines      *deadline.Queue
+	Now            func() float64
+	Listener       Listener
+	Addr           string
+	ConnectTimeout float64 // ms within which a connection has to be established
+	WarmUpTime     float64 // ms that a worker group takes to warm up
 
-	rev    int64
-	starts starttime.Judge
-	pause  float64
-	cur    *feed
-	timer  deadline.Entry
+	revision       int64 // of the latest event applied
+	startTimes     starttime.Estimator
+	reconnectDelay float64
+	current        *connection    // nil while waiting to reconnect
+	timer          deadline.Entry // timeout of the current connection, or the delay before the next one
 }
 
-// feed is one connection to the board.
-type feed struct {
-	w   *Watch
-	c   link.Conn
-	buf []byte
+// connection is one connection to the discovery service.
+type connection struct {
+	watcher *Watcher
+	conn    link.Conn
+	buffer  []byte // received, not handled yet
 }
 
-// Known takes the events of the start, in the form of the configuration.
-func (w *Watch) Known(text []byte) error {
+// LoadKnown applies the events that the configuration holds under known, as JSON.
+func (w *Watcher) LoadKnown(text []byte) error {
 	var known struct {
 		Rev     int64
 		Notices []json.RawMessage
@@ -117,156 +122,157 @@
 	if err := json.Unmarshal(text, &known); err != nil {
 		return fmt.Errorf("known: %v", err)
 	}
-	for i, n := range known.Notices {
-		if err := w.take(n); err != nil {
+	for i, notice := range known.Notices {
+		if err := w.applyEvent(notice); err != nil {
 			return fmt.Errorf("known.notices[%d]: %v", i, err)
 		}
 	}
-	w.rev = max(w.rev, known.Rev)
+	w.revision = max(w.revision, known.Rev)
 	return nil
 }
 
-// take applies one event; those already known are passed over.
-func (w *Watch) take(line []byte) error {
-	e, err := parse(line)
+// applyEvent applies one event. Events up to the current revision are ignored.
+func (w *Watcher) applyEvent(line []byte) error {
+	e, err := parseEvent(line)
 	if err != nil {
 		return err
 	}
-	if *e.Rev <= w.rev {
+	if *e.Rev <= w.revision {
 		return nil
 	}
-	// Danger: the line of each second is an object with the number alone. One with a later number than ours
-	// says that an event was written and did not come; passing it over would miss that event for good.
+	// Danger: the service sends the latest revision every second, without a pool. A later revision than the current one
+	// means that an event was lost. If this were ignored, that event would never be applied.
 	if e.Pool == nil {
 		return fmt.Errorf("events up to %d are missing", *e.Rev)
 	}
-	whole, list, err := e.list()
+	complete, engines, err := e.engines()
 	if err != nil {
 		return err
 	}
-	w.rev = *e.Rev
-	w.localize(whole, list)
-	w.Listener.List(whole, list)
+	w.revision = *e.Rev
+	w.convertStartTimes(complete, engines)
+	w.Listener.UpdateEngines(complete, engines)
 	return nil
 }
 
-// localize puts the starts of an event's members on the program's clock.
-func (w *Watch) localize(whole bool, members []coordinator.Member) {
+// convertStartTimes converts the start times in an event from Unix timestamps to the program's clock.
+func (w *Watcher) convertStartTimes(complete bool, engines []coordinator.ListedEngine) {
 	now := w.Now()
-	w.starts.WarmAfter = w.WarmAfter
-	named := map[string]bool{}
-	for _, m := range members {
-		named[m.ID] = true
-		w.starts.Observe(m.StartedAt, now)
+	w.startTimes.WarmUpTime = w.WarmUpTime
+	listed := map[string]bool{}
+	for _, e := range engines {
+		listed[e.ID] = true
+		w.startTimes.Observe(e.StartedAt, now)
 	}
-	if whole {
-		w.starts.Only(named)
+	if complete {
+		w.startTimes.RemoveUnlisted(listed)
 	}
-	for i := range members {
-		m := &members[i]
-		m.StartedAt = w.starts.Local(m.ID, m.StartedAt, now)
-		if m.Status == choice.Removed {
-			w.starts.Forget(m.ID)
+	for i := range engines {
+		e := &engines[i]
+		e.StartedAt = w.startTimes.LocalStart(e.ID, e.StartedAt, now)
+		if e.Status == choice.Removed {
+			w.startTimes.Remove(e.ID)
 		}
 	}
 }
 
-// Move follows the board at another address from now on, with the number last known. The old connection tells
-// nothing more.
-func (w *Watch) Move(addr string) {
+// SetAddr connects to the discovery service at another address, continuing from the current revision. The old connection
+// is closed and has no further effect.
+func (w *Watcher) SetAddr(addr string) {
 	if addr == w.Addr {
 		return
 	}
-	w.Addr, w.pause = addr, 0
-	if f := w.cur; f != nil && f.c != nil {
-		f.c.Close()
+	w.Addr, w.reconnectDelay = addr, 0
+	if c := w.current; c != nil && c.conn != nil {
+		c.conn.Close()
 	}
 	w.Start()
 }
 
-// Start connects.
-func (w *Watch) Start() {
-	f := &feed{w: w}
-	w.cur = f
-	w.timer.Do = func() { f.lose("silent", link.NoAnswer) }
-	w.Deadlines.Set(&w.timer, w.Now()+w.Connect)
-	w.Dialer.Dial(w.Addr, f)
+// Start connects to the discovery service.
+func (w *Watcher) Start() {
+	c := &connection{watcher: w}
+	w.current = c
+	w.timer.Do = func() { c.disconnect("timeout: no connection or no line received", link.NoAnswer) }
+	w.Deadlines.Set(&w.timer, w.Now()+w.ConnectTimeout)
+	w.Dialer.Dial(w.Addr, c)
 }
 
-// lose gives a connection up and asks for a new one. Danger: what the board has counts as told, connected or
-// not, so the pause stays short.
-func (f *feed) lose(why string, e link.EndReason) {
-	if f.w.cur != f {
+// disconnect closes the connection and schedules a new one. Danger: a coordinator is expected to act on every published
+// change, connected or not, so the delay before reconnecting stays short.
+func (c *connection) disconnect(why string, reason link.EndReason) {
+	if c.watcher.current != c {
 		return
 	}
-	slog.Warn("board-lost", "why", why, "end", e, "rev", f.w.rev)
-	f.w.cur = nil
-	if f.c != nil {
-		f.c.Close()
+	slog.Warn("board-lost", "why", why, "end", reason, "rev", c.watcher.revision)
+	c.watcher.current = nil
+	if c.conn != nil {
+		c.conn.Close()
 	}
-	f.w.pause = math.Min(math.Max(2*f.w.pause, pauseLow), pauseHigh)
-	f.w.timer.Do = f.w.Start
-	f.w.Deadlines.Set(&f.w.timer, f.w.Now()+f.w.pause)
+	c.watcher.reconnectDelay = math.Min(math.Max(2*c.watcher.reconnectDelay, minReconnectDelay), maxReconnectDelay)
+	c.watcher.timer.Do = c.watcher.Start
+	c.watcher.Deadlines.Set(&c.watcher.timer, c.watcher.Now()+c.watcher.reconnectDelay)
 }
 
-// Opened asks for all that came later than what is known.
-func (f *feed) Opened(c link.Conn) {
-	f.c = c
-	if f.w.cur != f { // too late
-		c.Close()
+// Opened requests all events after the current revision.
+func (c *connection) Opened(conn link.Conn) {
+	c.conn = conn
+	if c.watcher.current != c { // another connection has replaced this one
+		conn.Close()
 		return
 	}
-	f.w.Deadlines.Set(&f.w.timer, f.w.Now()+silence)
-	c.Write([]byte("watch " + strconv.FormatInt(f.w.rev, 10) + "\n"))
+	c.watcher.Deadlines.Set(&c.watcher.timer, c.watcher.Now()+silenceTimeout)
+	conn.Write([]byte("watch " + strconv.FormatInt(c.watcher.revision, 10) + "\n"))
 }
 
-// Received takes lines, however they are cut.
-func (f *feed) Received(b []byte) {
-	if f.w.cur != f {
+// Received handles all complete lines and buffers the rest.
+func (c *connection) Received(b []byte) {
+	if c.watcher.current != c {
 		return
 	}
-	f.buf = append(f.buf, b...)
-	used := 0
+	c.buffer = append(c.buffer, b...)
+	consumed := 0
 	for {
-		i := bytes.IndexByte(f.buf[used:], '\n')
+		i := bytes.IndexByte(c.buffer[consumed:], '\n')
 		if i < 0 {
 			break
 		}
-		line := bytes.TrimSpace(f.buf[used : used+i])
-		used += i + 1
-		f.w.Deadlines.Set(&f.w.timer, f.w.Now()+silence)
-		if err := f.line(line); err != nil {
-			f.lose(err.Error(), link.Malformed)
+		line := bytes.TrimSpace(c.buffer[consumed : consumed+i])
+		consumed += i + 1
+		c.watcher.Deadlines.Set(&c.watcher.timer, c.watcher.Now()+silenceTimeout)
+		if err := c.handleLine(line); err != nil {
+			c.disconnect(err.Error(), link.Malformed)
 			return
 		}
 	}
-	f.buf = append(f.buf[:0], f.buf[used:]...)
-	if len(f.buf) > mostLine {
-		f.lose("a line without an end", link.Malformed)
+	c.buffer = append(c.buffer[:0], c.buffer[consumed:]...)
+	if len(c.buffer) > maxLineBytes {
+		c.disconnect("line too long", link.Malformed)
 	}
 }
 
-func (f *feed) line(line []byte) error {
+// handleLine handles one line: an event, or the latest revision as a plain number.
+func (c *connection) handleLine(line []byte) error {
 	if len(line) == 0 {
 		return nil
 	}
 	if line[0] == '{' {
-		err := f.w.take(line)
+		err := c.watcher.applyEvent(line)
 		if err == nil {
-			f.w.pause = 0
+			c.watcher.reconnectDelay = 0
 		}
 		return err
 	}
-	last, err := strconv.ParseInt(string(line), 10, 64)
+	revision, err := strconv.ParseInt(string(line), 10, 64)
 	if err != nil {
-		return fmt.Errorf("%.60q is neither an event nor a number", line)
+		return fmt.Errorf("line %.60q is neither an event nor a revision number", line)
 	}
-	if last > f.w.rev { // the same, in the plainer form
-		return fmt.Errorf("events up to %d are missing", last)
+	if revision > c.watcher.revision { // an event was lost, as in applyEvent
+		return fmt.Errorf("events up to %d are missing", revision)
 	}
-	f.w.pause = 0
+	c.watcher.reconnectDelay = 0
 	return nil
 }
 
-// Closed comes when the connection ends by itself or did not come up.
-func (f *feed) Closed(e link.EndReason) { f.lose("closed", e) }
+// Closed handles a connection that the other side closed, that broke, or that could not be established.
+func (c *connection) Closed(reason link.EndReason) { c.disconnect("closed", reason) }
--- a/internal/chengine/fleet.go
+++ b/internal/chengine/fleet.go
@@ -38,8 +38,8 @@
 	Dialer     link.Dialer
 	Deadlines  *deadline.Queue
 	Now        func() float64
-	Watcher    coordinator.Watcher
-	Faults     *tally.Tally
+	Watcher    coordinator.AttemptListener
+	Faults     *tally.FaultLog
 	ConnIdle   float64 // ms for which an unused connection is kept
 	MostWires  int
 	MostResult int                                       // bytes of one result
@@ -58,7 +58,7 @@
 }
 
 // Know takes an entry of the list.
-func (f *Fleet) Know(m coordinator.Member) {
+func (f *Fleet) Update(m coordinator.ListedEngine) {
 	if e, known := f.engines.Get(m.ID); known && m.Status != choice.Healthy {
 		f.withdraw(e)
 	}
@@ -66,7 +66,7 @@
 }
 
 // Only takes a whole list: engines that it does not name have gone.
-func (f *Fleet) Only(named map[string]bool) {
+func (f *Fleet) RemoveUnlisted(named map[string]bool) {
 	for _, e := range f.engines.All() {
 		if !named[e.ID] {
 			f.withdraw(e)
@@ -97,11 +97,11 @@
 	e, _ := f.engines.Get(id)
 	sent := f.Now()
 	tell := func(a *answer, why link.EndReason) {
-		p := coordinator.Outcome{Engine: id, End: why, Took: f.Now() - sent}
+		p := coordinator.Outcome{Engine: id, EndReason: why, Duration: f.Now() - sent}
 		if a != nil && a.Status != 200 {
-			p.End = link.Full
+			p.EndReason = link.Full
 		}
-		f.Watcher.Probed(p)
+		f.Watcher.ProbeEnded(p)
 	}
 	if e == nil || e.Addr == "" {
 		tell(nil, link.Unreachable)
@@ -166,20 +166,20 @@
 		switch {
 		case !a.written:
 			a.finish(link.Unreachable)
-		case f.Now() >= a.Until+answerSlack: // the engine has ended it by itself
+		case f.Now() >= a.WaitUntil+answerSlack: // the engine has ended it by itself
 			a.finish(a.end)
 		default: // danger: what the engine has not confirmed may still run
-			f.Watcher.Overdue(a.ID)
+			f.Watcher.RequestOverdue(a.ID)
 			if !a.cancelled {
 				a.revoke(link.NoAnswer)
 			}
 			if !a.over {
-				f.Deadlines.Set(&a.budget, a.Until+answerSlack)
+				f.Deadlines.Set(&a.budget, a.WaitUntil+answerSlack)
 			}
 		}
 	}
-	f.Deadlines.Set(&a.budget, a.Until)
-	a.call = &call{build: a.build, within: a.Until - f.Now() + answerSlack, most: f.MostResult, progress: a.progress, done: a.answered}
+	f.Deadlines.Set(&a.budget, a.WaitUntil)
+	a.call = &call{build: a.build, within: a.WaitUntil - f.Now() + answerSlack, most: f.MostResult, progress: a.progress, done: a.answered}
 	a.e.start(a.call)
 }
 
@@ -188,11 +188,11 @@
 	if a.withdrawn = a.Expired(a.f.Now()); a.withdrawn {
 		return nil
 	}
-	left := a.Until - a.f.Now()
+	left := a.WaitUntil - a.f.Now()
 	a.written = true
 	v := url.Values{}
 	set := func(name, value string) { v.Set(name, value) }
-	text, data, ch := []byte(a.Statement), []byte(nil), a.CH
+	text, data, ch := []byte(a.Statement), []byte(nil), a.ClickHouse
 	if ch != nil {
 		for _, s := range ch.Settings {
 			set(s[0], s[1])
@@ -211,8 +211,8 @@
 	set("send_progress_in_http_headers", "1")
 	set("http_headers_progress_interval_ms", strconv.Itoa(progressEvery))
 	set("max_execution_time", strconv.FormatFloat(math.Ceil(left)/1000, 'f', 3, 64))
-	if a.Idem != "" {
-		set("insert_deduplication_token", a.Idem)
+	if a.IdempotencyKey != "" {
+		set("insert_deduplication_token", a.IdempotencyKey)
 	}
 	if a.Grant > 0 {
 		set("max_memory_usage", strconv.FormatInt(int64(math.Ceil(a.Grant))<<20, 10))
@@ -236,7 +236,7 @@
 	read, err1 := strconv.ParseFloat(p.Read, 64)
 	total, err2 := strconv.ParseFloat(p.Total, 64)
 	if err1 == nil && err2 == nil && total > 0 {
-		a.f.Watcher.Noted(a.ID, a.Engine, a.Number, choice.NoticeProgress, math.Max(0, math.Min(read/total, 1)))
+		a.f.Watcher.NoticeReceived(a.ID, a.Engine, a.Number, choice.NoticeProgress, math.Max(0, math.Min(read/total, 1)))
 	}
 }
 
@@ -279,7 +279,7 @@
 	case code == strconv.Itoa(tooMany):
 		a.finish(link.Full)
 	case rejections[code]:
-		a.outcome.Why = strings.TrimSpace(string(r.body[:min(len(r.body), mostWhy)]))
+		a.outcome.Message = strings.TrimSpace(string(r.body[:min(len(r.body), mostWhy)]))
 		a.finish(link.Rejected)
 	case code != "" || r.Status != 200:
 		a.finish(link.Failed)
@@ -294,7 +294,7 @@
 			return
 		}
 		a.outcome.Result = set
-		a.outcome.Took = a.f.Now() - a.sent
+		a.outcome.Duration = a.f.Now() - a.sent
 		elapsed, mem := summary(r.Get("x-clickhouse-summary"))
 		a.outcome.Work, a.outcome.Mem = elapsed*a.Threads, mem // of all its threads, as the module counts work
 		a.finish(link.Served)
@@ -431,9 +431,9 @@
 		a.e.attempts--
 		defer f.engines.RemoveIfUnused(a.e)
 	}
-	a.outcome.End = e
+	a.outcome.EndReason = e
 	if e != link.Served {
-		a.outcome.Took, a.outcome.Result = f.Now()-a.sent, nil
+		a.outcome.Duration, a.outcome.Result = f.Now()-a.sent, nil
 	}
-	f.Watcher.Ended(a.outcome)
+	f.Watcher.AttemptEnded(a.outcome)
 }
--- a/internal/chhttp/front.go
+++ b/internal/chhttp/front.go
@@ -49,10 +49,10 @@
 type Front struct {
 	Coordinator Coordinator
 	Deadlines   *deadline.Queue
-	Faults      *tally.Tally
+	Faults      *tally.FaultLog
 	Now         func() float64
 	Margin      float64 // ms by which an answer is due before the client's limit: the way back
-	Seats       *seats.Seats
+	Seats       *seats.Limiter
 	Random      *rand.Rand
 	Config      config.Config
 	MostHeld    int  // bytes of requests that all sessions may hold together; 0: no bound
@@ -83,7 +83,7 @@
 type Session struct {
 	f       *Front
 	c       link.Conn
-	seat    *seats.Seat
+	seat    *seats.Slot
 	excess  bool
 	closed  bool
 	busy    bool // requests are being handled
@@ -124,26 +124,26 @@
 	s.c = c
 	s.f.all[s] = true
 	ok := false
-	if s.seat, s.excess, ok = s.f.Seats.Take(s); !ok {
+	if s.seat, s.excess, ok = s.f.Seats.Acquire(s); !ok {
 		s.close()
 		return
 	}
 	s.f.Deadlines.Set(&s.late, s.f.Now()+headWithin)
-	s.seat.Silent()
+	s.seat.MarkUnused()
 }
 
 // Quiet and Push are for the seat.
-func (s *Session) Quiet() bool { return s.c.Idle() }
+func (s *Session) InputEmpty() bool { return s.c.Idle() }
 
 // Push makes the session give way.
-func (s *Session) Push() { s.close() }
+func (s *Session) Evict() { s.close() }
 
 // Received takes bytes, however they are cut.
 func (s *Session) Received(b []byte) {
 	if s.closed {
 		return
 	}
-	s.seat.Busy()
+	s.seat.MarkBusy()
 	s.f.Deadlines.Cancel(&s.resting)
 	s.buf = append(s.buf, b...)
 	if !s.hold(s.weight()) {
@@ -174,15 +174,15 @@
 		return
 	}
 	s.hold(s.weight()) // it is less than before
-	switch most := mostHead + f.Config.Own.CH.MostBody; {
+	switch most := mostHead + f.Config.Local.ClickHouse.MaxBodyBytes; {
 	case len(s.buf) > most: // danger: a client that writes on and on behind an open request
 		s.refuse(413, except(codeTooLarge, "over %d bytes behind an open request", most))
 	case s.q == nil && s.head == nil && len(s.buf) == 0:
 		s.buf = nil
 		f.Deadlines.Cancel(&s.late)
 		if s.served > 0 {
-			s.seat.Resting()
-			f.Deadlines.Set(&s.resting, f.Now()+f.Config.Own.CH.KeepAlive)
+			s.seat.MarkIdle()
+			f.Deadlines.Set(&s.resting, f.Now()+f.Config.Local.ClickHouse.KeepAlive)
 		} else {
 			f.Deadlines.Set(&s.late, f.Now()+headWithin)
 		}
@@ -200,7 +200,7 @@
 			return false
 		}
 		if err == nil {
-			s.body, err = h.Body(int64(f.Config.Own.CH.MostBody))
+			s.body, err = h.Body(int64(f.Config.Local.ClickHouse.MaxBodyBytes))
 		}
 		if err != nil {
 			s.garbled(err)
@@ -356,7 +356,7 @@
 
 // local answers what runs nowhere: greetings, and KILL QUERY for queries of the same member here.
 func (s *Session) local(q *query) (*result.Set, error) {
-	if set, ok := s.f.greet(q.CH.Text); ok {
+	if set, ok := s.f.greet(q.ClickHouse.Text); ok {
 		return set, nil
 	}
 	id, ok := killed(q.Statement)
@@ -367,7 +367,7 @@
 	if o := s.f.queries[id]; o != nil && o.q.Tenant == q.Tenant {
 		row := append([]byte("waiting\t"), result.Escape(nil, []byte(id))...)
 		row = append(append(row, '\t'), result.Escape(nil, []byte(o.q.user))...)
-		row = append(append(row, '\t'), result.Escape(nil, []byte(o.q.CH.Text))...)
+		row = append(append(row, '\t'), result.Escape(nil, []byte(o.q.ClickHouse.Text))...)
 		set.Pages = [][]byte{append(row, '\n')}
 		o.abandon()
 		o.fail(0, except(codeCanceled, "Query was cancelled"), nil)
@@ -602,7 +602,7 @@
 func (s *Session) gone() {
 	s.closed, s.buf, s.got, s.head = true, nil, nil, nil
 	delete(s.f.all, s)
-	s.seat.Leave()
+	s.seat.Release()
 	for _, e := range []*deadline.Entry{&s.late, &s.again, &s.resting} {
 		s.f.Deadlines.Cancel(e)
 	}
--- a/internal/chhttp/front_test.go
+++ b/internal/chhttp/front_test.go
@@ -49,8 +49,8 @@
 	now := 0.0
 	clock := func() float64 { return now }
 	k := &taker{shape.NewBook(shape.Options{Bytes: 1 << 16}), map[string]*coordinator.Request{}}
-	faults := &tally.Tally{Now: clock}
-	f := &Front{Coordinator: k, Deadlines: deadline.New(), Faults: faults, Now: clock, Margin: 25, Seats: &seats.Seats{Most: 8, Faults: faults},
+	faults := &tally.FaultLog{Now: clock}
+	f := &Front{Coordinator: k, Deadlines: deadline.New(), Faults: faults, Now: clock, Margin: 25, Seats: &seats.Limiter{MaxConnections: 8, Faults: faults},
 		Random: rand.New(rand.NewSource(1)), Config: c}
 	f.Start()
 	return f, k, &now
--- a/internal/chhttp/greet.go
+++ b/internal/chhttp/greet.go
@@ -45,7 +45,7 @@
 		case "timezone()", "servertimezone()":
 			value = "UTC"
 		case "displayname()", "hostname()":
-			value = f.Config.Own.CH.DisplayName
+			value = f.Config.Local.ClickHouse.DisplayName
 		case "revision()":
 			c.Type, value = "UInt32", strconv.Itoa(revision)
 		case "currentdatabase()":
--- a/internal/chhttp/request.go
+++ b/internal/chhttp/request.go
@@ -165,21 +165,21 @@
 // tenant is the member that a user belongs to. Danger: whether a name or its password is wrong is not told.
 func (f *Front) tenant(name, password, quota string) (string, error) {
 	denied := except(codeAuth, "%.60s: Authentication failed: password is incorrect, or there is no user with such name.", name)
-	c := f.Config.Own
+	c := f.Config.Local
 	if len(c.Users) > 0 {
 		u, ok := c.Users[name]
 		sum := sha256.Sum256([]byte(password))
-		if !ok || u.Hash != "" && subtle.ConstantTimeCompare([]byte(u.Hash), []byte(hex.EncodeToString(sum[:]))) != 1 {
+		if !ok || u.PasswordHash != "" && subtle.ConstantTimeCompare([]byte(u.PasswordHash), []byte(hex.EncodeToString(sum[:]))) != 1 {
 			return "", denied
 		}
 		return u.Tenant, nil
 	}
-	for _, t := range f.Config.Choice.Tenants {
+	for _, t := range f.Config.Scheduler.Tenants {
 		if t.Name == name || name == "default" && t.Name == quota {
 			return t.Name, nil
 		}
 	}
-	if len(f.Config.Choice.Tenants) > 0 {
+	if len(f.Config.Scheduler.Tenants) > 0 {
 		return "", denied
 	}
 	return name, nil
@@ -228,7 +228,7 @@
 			return nil, except(codeBadArguments, "client_protocol_version %.20q", p)
 		}
 	}
-	if body, err = unpacked(h.Get("content-encoding"), enabled(v["decompress"]), body, f.Config.Own.CH.MostBody); err != nil {
+	if body, err = unpacked(h.Get("content-encoding"), enabled(v["decompress"]), body, f.Config.Local.ClickHouse.MaxBodyBytes); err != nil {
 		return nil, err
 	}
 	text, data := v["query"], []byte(nil)
@@ -258,7 +258,7 @@
 	if r.Tenant == "" {
 		r.Tenant = tenant
 	}
-	if r.Tenant != tenant && len(f.Config.Own.Users) > 0 {
+	if r.Tenant != tenant && len(f.Config.Local.Users) > 0 {
 		return except(codeAuth, "user %.60s does not belong to %.60s", q.user, r.Tenant)
 	}
 	q.format = first(v["default_format"], first(h.Get("x-clickhouse-format"), "TabSeparated"))
@@ -275,7 +275,7 @@
 		if p, ok := strings.CutPrefix(name, "param_"); ok {
 			params[p] = v[name]
 			ch.Params = append(ch.Params, [2]string{p, v[name]})
-		} else if !own[name] && name != f.Config.Own.CH.KeySetting && name != "max_execution_time" && name != "insert_deduplication_token" {
+		} else if !own[name] && name != f.Config.Local.ClickHouse.KeySetting && name != "max_execution_time" && name != "insert_deduplication_token" {
 			ch.Settings = append(ch.Settings, [2]string{name, v[name]})
 		}
 	}
@@ -289,7 +289,7 @@
 	if err != nil {
 		return err
 	}
-	r.Dialect, r.CH, r.Statement = shape.ClickHouse, ch, whole
+	r.Dialect, r.ClickHouse, r.Statement = shape.ClickHouse, ch, whole
 	if len(data) > 0 {
 		r.Statement += "\n" + string(data)
 	}
@@ -298,7 +298,7 @@
 		return except(codeReadonly, "Cannot execute query in readonly mode. For queries over HTTP, method GET implies readonly.")
 	}
 	if r.Class == "" {
-		class, ok := f.Config.Classify().For(r.Shape.Kind)
+		class, ok := f.Config.ClassRules().ClassOf(r.Shape.Kind)
 		if !ok {
 			return except(codeBadArguments, "no class for a statement that is %v", r.Shape.Kind)
 		}
@@ -308,24 +308,24 @@
 		return err
 	}
 	if t := v["insert_deduplication_token"]; t != "" {
-		if r.Idem, err = fields.Word(t); err != nil {
+		if r.IdempotencyKey, err = fields.Word(t); err != nil {
 			return except(codeBadArguments, "insert_deduplication_token: %v", err)
 		}
 	}
-	if k := first(h.Get(f.Config.Own.CH.KeyHeader), v[f.Config.Own.CH.KeySetting]); k != "" {
+	if k := first(h.Get(f.Config.Local.ClickHouse.KeyHeader), v[f.Config.Local.ClickHouse.KeySetting]); k != "" {
 		if r.OrderKey, err = fields.Word(k); err != nil {
-			return except(codeBadArguments, "%s: %v", f.Config.Own.CH.KeySetting, err)
+			return except(codeBadArguments, "%s: %v", f.Config.Local.ClickHouse.KeySetting, err)
 		}
 	}
-	for _, c := range f.Config.Choice.Classes {
+	for _, c := range f.Config.Scheduler.Classes {
 		if c.Name != r.Class {
 			continue
 		}
 		if c.InOrder && r.OrderKey == "" {
 			r.OrderKey = "tables:" + strings.Join(r.Shape.Writes, "+")
 		}
-		if c.Idempotency == choice.Deduplicated && r.Idem == "" {
-			r.Idem = "once-" + r.ID
+		if c.Idempotency == choice.Deduplicated && r.IdempotencyKey == "" {
+			r.IdempotencyKey = "once-" + r.ID
 		}
 	}
 	if err := f.Coordinator.Check(r); err != nil {
@@ -337,7 +337,7 @@
 // limit is how long a request may take, in ms.
 func (f *Front) limit(class, seconds string, told float64) (float64, error) {
 	limit := mostLimit
-	for _, c := range f.Config.Choice.Classes {
+	for _, c := range f.Config.Scheduler.Classes {
 		if c.Name == class && c.ClientTimeout > 0 {
 			limit = c.ClientTimeout
 		}
--- a/internal/classify/classify.go
+++ b/internal/classify/classify.go
@@ -1,5 +1,4 @@
-// Package classify decides how classes and statements go together: what a class's statements may do, and which class a
-// statement has that comes without one.
+// Package classify determines what the statements of a class may do, and the class of a statement that is sent without one.
 package classify
 
 import (
@@ -7,15 +6,15 @@
 	"thymeway/internal/shape"
 )
 
-// Rules are what the settings say.
+// Rules holds the settings for roles and classes.
 type Rules struct {
-	Classes                []choice.Class
-	Roles                  map[string]shape.Role // by class; the others follow their settings
-	Read, Aggregate, Write string                // classes by what a statement does; "": by their settings
+	Classes                               []choice.Class
+	Roles                                 map[string]shape.Role // by class; the roles of other classes follow from Classes
+	ReadClass, AggregateClass, WriteClass string                // classes by kind of statement; "": chosen from Classes
 }
 
-// Role is what the statements of a class may do: what holds its table group writes, what may be repeated at will reads,
-// and of others nothing is said.
+// Role returns what the statements of a class may do. By default, a class that holds its table group writes, and a class
+// whose queries are safe to repeat reads. Other classes may do anything.
 func (r Rules) Role(class string) shape.Role {
 	if role, ok := r.Roles[class]; ok {
 		return role
@@ -32,29 +31,29 @@
 	return shape.Any
 }
 
-// For is the class of a statement that comes without one. Danger: what is not known may write, so it has the class of
-// what writes. ok is false where there is none.
-func (r Rules) For(k shape.Kind) (name string, ok bool) {
-	writes := k == shape.Write || k == shape.Unknown
-	named := r.Read
+// ClassOf returns the class of a statement that is sent without one. ok is false if no class fits. Danger: a statement of
+// unknown kind may write, so it gets the class of statements that write.
+func (r Rules) ClassOf(kind shape.Kind) (name string, ok bool) {
+	writes := kind == shape.Write || kind == shape.Unknown
+	named := r.ReadClass
 	switch {
 	case writes:
-		named = r.Write
-	case k == shape.Aggregate:
-		named = r.Aggregate
+		named = r.WriteClass
+	case kind == shape.Aggregate:
+		named = r.AggregateClass
 	}
 	if named != "" {
 		return named, true
 	}
-	limit := 0.0
-	for _, x := range r.Classes {
+	timeout := 0.0
+	for _, class := range r.Classes {
 		switch {
 		case writes:
-			if x.IsLoad {
-				return x.Name, true
+			if class.IsLoad {
+				return class.Name, true
 			}
-		case x.Idempotency == choice.Idempotent && (!ok || (k == shape.Aggregate) == (x.ClientTimeout > limit)):
-			name, ok, limit = x.Name, true, x.ClientTimeout
+		case class.Idempotency == choice.Idempotent && (!ok || (kind == shape.Aggregate) == (class.ClientTimeout > timeout)):
+			name, ok, timeout = class.Name, true, class.ClientTimeout
 		}
 	}
 	return name, ok
--- a/internal/clock/monitor_test.go
+++ b/internal/clock/monitor_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A step of the wall clock is seen once, with its size; time that passes, and slewing, are none.
+// A step of the wall clock must be counted once, with its size. Passing time and slewing are no steps.
 func TestMonitorSeesSteps(t *testing.T) {
 	wall, elapsed := 1.7e12, 0.0
 	m := newMonitor(func() (float64, float64) { return wall, elapsed })
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,4 +1,4 @@
-// Package config is the one place where the configuration is read, checked and given defaults.
+// Package config reads and validates the platform's configuration and the local settings, and applies defaults.
 package config
 
 import (
@@ -16,25 +16,26 @@
 	"thymeway/internal/wire"
 )
 
-// Config is what a coordinator is told at its start.
+// Config is the configuration of a coordinator.
 type Config struct {
-	Name     string
-	Listen   string
-	Seed     uint64
-	Cores    float64
-	MemoryMB float64
-	Sockets  int
-	Board    string
-	Known    json.RawMessage // as the notice board would write it; package board reads it
-	Choice   choice.Settings
-	Own      Own
-	// The settings that concern the program and not the decisions, in ms.
-	ConnectTimeout float64
-	ConnIdle       float64
-	AnswerSlack    float64
-	settings       json.RawMessage // as they were read
+	Name          string
+	Listen        string
+	Seed          uint64
+	Cores         float64
+	MemoryMB      float64
+	Sockets       int             // descriptors that the program may use
+	DiscoveryAddr string          // IP:PORT of the discovery service
+	Known         json.RawMessage // events in the form of the discovery service; decoded by package board
+	Scheduler     choice.Settings
+	Local         Local
+	// Settings of the program that do not concern the scheduler, in ms.
+	ConnectTimeout  float64
+	ConnIdleTimeout float64
+	AnswerSlack     float64
+	settingsText    json.RawMessage // JSON text of the settings as read
 }
 
+// file is the platform's configuration file in JSON.
 type file struct {
 	Name, Listen, Seed, Board string
 	Limits                    struct {
@@ -46,7 +47,8 @@
 	Settings json.RawMessage
 }
 
-type settings struct {
+// programSettings holds the settings in the configuration file that do not concern the scheduler.
+type programSettings struct {
 	Ceilings struct {
 		ConnIdleMs, ConnectTimeoutMs *float64
 	}
@@ -55,33 +57,33 @@
 	}
 }
 
-// Defaults for keys that may be left out.
+// Defaults of optional keys, and limits.
 const (
-	defaultCores   = 1.0
-	defaultMemory  = 192.0
-	defaultSockets = 1024
-	leastSockets   = 64
-	clientShare    = 3 // one part in so many of the descriptors is the clients'
-	defaultConnect = 250.0
-	defaultIdle    = 15000.0
-	defaultSlack   = 20.0
+	defaultCores          = 1.0
+	defaultMemoryMB       = 192.0
+	defaultSockets        = 1024
+	minSockets            = 64
+	clientSocketDivisor   = 3 // clients get the descriptors divided by this
+	defaultConnectTimeout = 250.0
+	defaultConnIdle       = 15000.0
+	defaultAnswerSlack    = 20.0
 )
 
-// FromEnvironment reads EDGE_CONFIG and the file that it names, and our own settings in the file own. EDGE_NAME and
-// EDGE_LISTEN go before the file. The error joins the faults of both.
-func FromEnvironment(getenv func(string) string, own string) (Config, error) {
-	c, err := platform(getenv)
-	o, fault := ReadOwn(own)
-	c.Own = o
-	if fault == nil && err == nil {
-		if err := c.References(); err != nil {
-			fault = fmt.Errorf("%s: %w", own, err)
+// FromEnvironment reads the configuration file that EDGE_CONFIG names, and the local settings in the file localPath.
+// EDGE_NAME and EDGE_LISTEN override the configuration file. The error joins the errors of both files.
+func FromEnvironment(getenv func(string) string, localPath string) (Config, error) {
+	c, err := readPlatform(getenv)
+	local, localErr := ReadLocal(localPath)
+	c.Local = local
+	if localErr == nil && err == nil {
+		if err := c.CheckReferences(); err != nil {
+			localErr = fmt.Errorf("%s: %w", localPath, err)
 		}
 	}
-	return c, errors.Join(err, fault)
+	return c, errors.Join(err, localErr)
 }
 
-// Transient tells whether a configuration could not be read for a reason that may pass by itself.
+// Transient reports whether reading a configuration failed for a temporary reason, so that it can be tried again.
 func Transient(err error) bool {
 	for _, e := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOMEM, syscall.EINTR, syscall.EAGAIN, syscall.EIO} {
 		if errors.Is(err, e) {
@@ -91,10 +93,11 @@
 	return false
 }
 
-func platform(getenv func(string) string) (Config, error) {
+// readPlatform reads the platform's configuration file.
+func readPlatform(getenv func(string) string) (Config, error) {
 	path := getenv("EDGE_CONFIG")
 	if path == "" {
-		return Config{}, fmt.Errorf("EDGE_CONFIG: not set; it names the configuration file")
+		return Config{}, fmt.Errorf("EDGE_CONFIG: not set; it must name the configuration file")
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -103,26 +106,27 @@
 	return Parse(text, getenv("EDGE_NAME"), getenv("EDGE_LISTEN"))
 }
 
-// Parse reads the text of a configuration file; name and listen go before it unless empty.
+// Parse parses the text of a configuration file. Unless empty, name and listen override its values. The local settings have
+// their defaults.
 func Parse(text []byte, name, listen string) (Config, error) {
 	var f file
 	if err := json.Unmarshal(text, &f); err != nil {
-		return Config{}, fmt.Errorf("configuration: %s", jsonFault(err))
+		return Config{}, fmt.Errorf("configuration: %s", describeJSONError(err))
 	}
-	ours, err := ParseOwn(nil)
+	local, err := ParseLocal(nil)
 	if err != nil {
 		return Config{}, err
 	}
-	c := Config{Own: ours, Name: first(name, f.Name), Listen: first(listen, f.Listen), Board: f.Board, Known: f.Known,
-		Cores: value(f.Limits.Cores, defaultCores), MemoryMB: value(f.Limits.MemoryMB, defaultMemory),
-		Sockets: value(f.Limits.Sockets, defaultSockets)}
+	c := Config{Local: local, Name: firstNonEmpty(name, f.Name), Listen: firstNonEmpty(listen, f.Listen),
+		DiscoveryAddr: f.Board, Known: f.Known, Cores: valueOr(f.Limits.Cores, defaultCores),
+		MemoryMB: valueOr(f.Limits.MemoryMB, defaultMemoryMB), Sockets: valueOr(f.Limits.Sockets, defaultSockets)}
 	if c.Name == "" {
 		return c, fmt.Errorf("name: missing; set EDGE_NAME or the key")
 	}
-	if err := address("listen", c.Listen); err != nil {
+	if err := checkAddress("listen", c.Listen); err != nil {
 		return c, err
 	}
-	if err := address("board", c.Board); err != nil {
+	if err := checkAddress("board", c.DiscoveryAddr); err != nil {
 		return c, err
 	}
 	if f.Seed != "" {
@@ -137,8 +141,8 @@
 		return c, fmt.Errorf("limits.cores: %v is not above 0", c.Cores)
 	case !(c.MemoryMB >= 16):
 		return c, fmt.Errorf("limits.memory_mb: %v is under 16", c.MemoryMB)
-	case c.Sockets < leastSockets:
-		return c, fmt.Errorf("limits.sockets: %d is under %d", c.Sockets, leastSockets)
+	case c.Sockets < minSockets:
+		return c, fmt.Errorf("limits.sockets: %d is under %d", c.Sockets, minSockets)
 	case len(f.Known) == 0:
 		return c, fmt.Errorf("known: missing")
 	case len(f.Settings) == 0:
@@ -146,46 +150,47 @@
 	}
 	s, err := wire.ParseSettings(f.Settings)
 	if err != nil {
-		return c, fmt.Errorf("settings: %s", jsonFault(err))
+		return c, fmt.Errorf("settings: %s", describeJSONError(err))
 	}
 	if len(s.Classes) == 0 {
 		return c, fmt.Errorf("settings.categories: no class is named")
 	}
 	s.Seed = int64(c.Seed)
-	// Clients hold a third of the descriptors at most, one request on each.
-	if held := c.Sockets / clientShare; s.MaxOpenRequests <= 0 || s.MaxOpenRequests > held {
-		s.MaxOpenRequests = held
-	}
-	c.Choice, c.settings = s, f.Settings
-	var own settings
-	if err := json.Unmarshal(f.Settings, &own); err != nil {
-		return c, fmt.Errorf("settings: %s", jsonFault(err))
-	}
-	c.ConnectTimeout = value(own.Ceilings.ConnectTimeoutMs, defaultConnect)
-	c.ConnIdle = value(own.Ceilings.ConnIdleMs, defaultIdle)
-	c.AnswerSlack = value(own.Invariants.AnswerSlackMs, defaultSlack)
+	// Client connections use at most a third of the descriptors, and each has one request.
+	if clientSockets := c.Sockets / clientSocketDivisor; s.MaxOpenRequests <= 0 || s.MaxOpenRequests > clientSockets {
+		s.MaxOpenRequests = clientSockets
+	}
+	c.Scheduler, c.settingsText = s, f.Settings
+	var program programSettings
+	if err := json.Unmarshal(f.Settings, &program); err != nil {
+		return c, fmt.Errorf("settings: %s", describeJSONError(err))
+	}
+	c.ConnectTimeout = valueOr(program.Ceilings.ConnectTimeoutMs, defaultConnectTimeout)
+	c.ConnIdleTimeout = valueOr(program.Ceilings.ConnIdleMs, defaultConnIdle)
+	c.AnswerSlack = valueOr(program.Invariants.AnswerSlackMs, defaultAnswerSlack)
 	switch {
 	case !(c.ConnectTimeout > 0):
 		return c, fmt.Errorf("settings.ceilings.connectTimeoutMs: %v is not above 0", c.ConnectTimeout)
-	case !(c.ConnIdle > 0):
-		return c, fmt.Errorf("settings.ceilings.connIdleMs: %v is not above 0", c.ConnIdle)
+	case !(c.ConnIdleTimeout > 0):
+		return c, fmt.Errorf("settings.ceilings.connIdleMs: %v is not above 0", c.ConnIdleTimeout)
 	case !(c.AnswerSlack >= 0):
 		return c, fmt.Errorf("settings.invariants.answerSlackMs: %v is under 0", c.AnswerSlack)
 	}
 	return c, nil
 }
 
-// Fixed names the keys in which another configuration differs and that count from a start only. The seed and what
-// is known of worker groups are new with each reading.
-func (c Config) Fixed(o Config) (keys []string) {
+// RestartKeys returns the keys in which another configuration differs and which take effect after a restart only. The seed
+// and the known worker groups are not compared, since they differ with each reading.
+func (c Config) RestartKeys(other Config) (keys []string) {
 	var a, b bytes.Buffer
-	_, _ = json.Compact(&a, c.settings), json.Compact(&b, o.settings) // both were read before
+	// Both texts were parsed before, so there is no error.
+	_, _ = json.Compact(&a, c.settingsText), json.Compact(&b, other.settingsText)
 	for _, k := range []struct {
 		name   string
 		differ bool
-	}{{"name", c.Name != o.Name}, {"listen", c.Listen != o.Listen}, {"limits.cores", c.Cores != o.Cores},
-		{"limits.memory_mb", c.MemoryMB != o.MemoryMB}, {"limits.sockets", c.Sockets != o.Sockets},
-		{"settings", !bytes.Equal(a.Bytes(), b.Bytes())}, {"our own settings", !reflect.DeepEqual(c.Own, o.Own)}} {
+	}{{"name", c.Name != other.Name}, {"listen", c.Listen != other.Listen}, {"limits.cores", c.Cores != other.Cores},
+		{"limits.memory_mb", c.MemoryMB != other.MemoryMB}, {"limits.sockets", c.Sockets != other.Sockets},
+		{"settings", !bytes.Equal(a.Bytes(), b.Bytes())}, {"local settings", !reflect.DeepEqual(c.Local, other.Local)}} {
 		if k.differ {
 			keys = append(keys, k.name)
 		}
@@ -193,14 +198,16 @@
 	return keys
 }
 
-func jsonFault(err error) string {
+// describeJSONError returns the text of an error of package json. For a value of the wrong type it names the key.
+func describeJSONError(err error) string {
 	if t, ok := err.(*json.UnmarshalTypeError); ok && t.Field != "" {
-		return fmt.Sprintf("%s: a %s is not what belongs there", t.Field, t.Value)
+		return fmt.Sprintf("%s: a %s is not allowed here", t.Field, t.Value)
 	}
 	return err.Error()
 }
 
-func address(key, addr string) error {
+// checkAddress returns an error if the value of a key is not an address with a port.
+func checkAddress(key, addr string) error {
 	if addr == "" {
 		return fmt.Errorf("%s: missing; it takes the form IP:PORT", key)
 	}
@@ -210,16 +217,17 @@
 	return nil
 }
 
-func first(a, b string) string {
+func firstNonEmpty(a, b string) string {
 	if a != "" {
 		return a
 	}
 	return b
 }
 
-func value[T any](p *T, absent T) T {
+// valueOr returns the value at p, or the default if p is nil.
+func valueOr[T any](p *T, defaultValue T) T {
 	if p == nil {
-		return absent
+		return defaultValue
 	}
 	return *p
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -8,7 +8,7 @@
 	"thymeway/internal/shape"
 )
 
-func example(t *testing.T) string {
+func exampleConfig(t *testing.T) string {
 	text, err := os.ReadFile("../../examples/config.json")
 	if err != nil {
 		t.Fatal(err)
@@ -16,7 +16,7 @@
 	return string(text)
 }
 
-// Each message has to name the faulty key.
+// Each error must name the invalid key.
 func TestFaults(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{`"name": "toy"`, `"name": ""`, "name: missing"},
@@ -33,7 +33,7 @@
 		{`"connIdleMs": 15000`, `"connIdleMs": -1`, "settings.ceilings.connIdleMs: -1"},
 		{`{`, ``, "configuration: "},
 	} {
-		_, err := Parse([]byte(strings.Replace(example(t), c.old, c.new, 1)), "", "")
+		_, err := Parse([]byte(strings.Replace(exampleConfig(t), c.old, c.new, 1)), "", "")
 		if err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: got %v, want %s", c.new, err, c.want)
 		}
@@ -42,17 +42,19 @@
 
 func TestEnvironment(t *testing.T) {
 	env := map[string]string{"EDGE_CONFIG": "../../examples/config.json", "EDGE_NAME": "n3", "EDGE_LISTEN": "127.0.0.1:7000"}
-	c, err := FromEnvironment(func(k string) string { return env[k] }, OwnFile)
-	if err != nil || c.Name != "n3" || c.Listen != "127.0.0.1:7000" || c.Sockets != 1024 || c.ConnectTimeout != 250 || len(c.Choice.Classes) != 3 {
+	c, err := FromEnvironment(func(k string) string { return env[k] }, LocalFile)
+	if err != nil || c.Name != "n3" || c.Listen != "127.0.0.1:7000" || c.Sockets != 1024 ||
+		c.ConnectTimeout != 250 || len(c.Scheduler.Classes) != 3 {
 		t.Errorf("got %+v, %v", c, err)
 	}
-	if _, err := FromEnvironment(func(string) string { return "" }, OwnFile); err == nil || !strings.Contains(err.Error(), "EDGE_CONFIG") {
+	if _, err := FromEnvironment(func(string) string { return "" }, LocalFile); err == nil ||
+		!strings.Contains(err.Error(), "EDGE_CONFIG") {
 		t.Errorf("got %v", err)
 	}
 }
 
-// Each fault of our own settings names its section and key, and all of them are told at once.
-func TestOwnFaults(t *testing.T) {
+// Each error in the local settings must name its section and key, and all errors are reported together.
+func TestLocalSettingsFaults(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
 		{"[log]\nlevel = loud", "[log] level: "},
 		{"[shapes]\nmemory_kb = 7", "[shapes] memory_kb: 7 is neither"},
@@ -69,14 +71,14 @@
 		{"[log\n", "unclosed section"},
 		{"[log]\nlevel = loud\n[shapes]\nevery_s = x", "[shapes] every_s: "},
 	} {
-		if _, err := ParseOwn([]byte(c.text)); err == nil || !strings.Contains(err.Error(), c.want) {
+		if _, err := ParseLocal([]byte(c.text)); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%q: got %v, want %s", c.text, err, c.want)
 		}
 	}
 }
 
-// The file in deploy sets nothing but the defaults, and tells of every key.
-func TestOwnFile(t *testing.T) {
+// deploy/thymeway.ini must list every key with its default, as WriteDefaults writes them.
+func TestLocalSettingsFile(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/thymeway.ini")
 	if err != nil {
 		t.Fatal(err)
@@ -84,31 +86,31 @@
 	var want strings.Builder
 	WriteDefaults(&want)
 	if !strings.HasSuffix(string(text), want.String()) {
-		t.Errorf("deploy/thymeway.ini does not end with the settings as they are now:\n%s", want.String())
+		t.Errorf("deploy/thymeway.ini does not end with the current settings:\n%s", want.String())
 	}
-	o, err := ParseOwn(text)
-	none, err2 := ParseOwn(nil)
-	if err != nil || err2 != nil || o.Shapes != none.Shapes || o.LogLevel != none.LogLevel || len(o.Roles) != 0 {
-		t.Errorf("got %+v, %v, without a file %+v, %v", o, err, none, err2)
+	local, err := ParseLocal(text)
+	none, err2 := ParseLocal(nil)
+	if err != nil || err2 != nil || local.Shapes != none.Shapes || local.LogLevel != none.LogLevel || len(local.Roles) != 0 {
+		t.Errorf("got %+v, %v, without a file %+v, %v", local, err, none, err2)
 	}
-	if _, err := ReadOwn("nowhere.ini"); err == nil {
-		t.Error("a file that is asked for need not be there")
+	if _, err := ReadLocal("nowhere.ini"); err == nil {
+		t.Error("no error for a missing file other than the default one")
 	}
 }
 
-// Roles of our own settings reach the rules, and memory for shapes follows the limit.
-func TestClassify(t *testing.T) {
-	c, err := Parse([]byte(example(t)), "", "")
+// Roles in the local settings must be part of the class rules, and the memory for shapes follows the memory limit.
+func TestClassRules(t *testing.T) {
+	c, err := Parse([]byte(exampleConfig(t)), "", "")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Own, err = ParseOwn([]byte("[class report]\nrole = any\n[clickhouse]\nread_class = report\n")); err != nil {
+	if c.Local, err = ParseLocal([]byte("[class report]\nrole = any\n[clickhouse]\nread_class = report\n")); err != nil {
 		t.Fatal(err)
 	}
-	if r := c.Classify(); r.Role("report") != shape.Any || r.Role("load") != shape.Writes {
+	if r := c.ClassRules(); r.Role("report") != shape.Any || r.Role("load") != shape.Writes {
 		t.Errorf("report %v, load %v", r.Role("report"), r.Role("load"))
-	} else if name, _ := r.For(shape.Read); name != "report" {
-		t.Errorf("reads are %s", name)
+	} else if name, _ := r.ClassOf(shape.Read); name != "report" {
+		t.Errorf("reads have class %s", name)
 	}
 	if c.ShapeBytes() != 4026531 {
 		t.Errorf("%d bytes for shapes", c.ShapeBytes())
--- a/internal/conftest/conftest.go
+++ b/internal/conftest/conftest.go
@@ -1,4 +1,4 @@
-// Package conftest gives tests the example configuration.
+// Package conftest provides the example configuration to tests.
 package conftest
 
 import (
@@ -10,8 +10,8 @@
 	"thymeway/internal/config"
 )
 
-// Text is the text of examples/config.json.
-func Text(t testing.TB) []byte {
+// ExampleText returns the text of examples/config.json.
+func ExampleText(t testing.TB) []byte {
 	t.Helper()
 	_, here, _, _ := runtime.Caller(0)
 	text, err := os.ReadFile(filepath.Join(filepath.Dir(here), "../../examples/config.json"))
@@ -21,10 +21,10 @@
 	return text
 }
 
-// Example is that configuration, read, with our own settings at their defaults.
+// Example returns the parsed example configuration, with local settings at their defaults.
 func Example(t testing.TB) config.Config {
 	t.Helper()
-	c, err := config.Parse(Text(t), "", "")
+	c, err := config.Parse(ExampleText(t), "", "")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -1,5 +1,5 @@
-// Package coordinator owns the decision module and the life of each request. It knows no protocol: requests come
-// from some client side and go to some engine side, both behind small interfaces.
+// Package coordinator drives the scheduler and follows each request from its arrival to its answer. It is independent
+// of protocols: clients and engines are reached through the Client and Backend interfaces.
 package coordinator
 
 import (
@@ -16,421 +16,437 @@
 	"thymeway/internal/tally"
 )
 
-// Request is a client's request, whatever protocol brought it.
+// Request is a client's request, received over any protocol.
 type Request struct {
 	choice.Request
-	Idem      string // the client's idempotency key
-	Statement string
-	Protocol  string // that brought it, for the accounts
-	Dialect   shape.Dialect
-	Shape     *shape.Shape // what the statement is taken for; see Recognise
-	Client    Client
-	CH        *ClickHouse // what came with it over ClickHouse's HTTP interface; else nil
-	told      float64     // the estimate of the work that came with it
-	doubted   bool
+	IdempotencyKey string // sent by the client, or generated from the request's id
+	Statement      string
+	Protocol       string // protocol over which it arrived; requests are counted by it
+	Dialect        shape.Dialect
+	Shape          *shape.Shape // of the statement; set by Recognise
+	Client         Client
+	ClickHouse     *ClickHouse // further data of a request received over ClickHouse's HTTP interface; otherwise nil
+	clientEstimate float64     // estimate of its work that the client sent, in CPU ms; 0: none
+	unproven       bool        // the statement is not proven safe to repeat, although its class promises that
 }
 
-// ClickHouse is a request as that interface has it: Statement is the same with its parameters and data put in.
+// ClickHouse holds the parts of a request received over ClickHouse's HTTP interface. The Statement of the Request is the
+// same query with parameters and data filled in.
 type ClickHouse struct {
 	Text     string      // the query, without its FORMAT clause
-	Data     []byte      // behind it, of an INSERT
-	Params   [][2]string // by name, without param_
-	Settings [][2]string
+	Data     []byte      // the data that follows the query of an INSERT
+	Params   [][2]string // names, without the prefix param_, and values
+	Settings [][2]string // names and values
 	Database string
 }
 
-// Follower is a Client that wants to hear how far its request is: the share done, from 0 to 1.
-type Follower interface{ Progress(share float64) }
-
-// Watcher is told what becomes of attempts and probes, sometimes before the call that starts them returns.
-type Watcher interface {
-	Ended(Outcome)
-	Overdue(request string) // the time of a request is over, and the end of its attempt is not known yet: Ended follows
-	Noted(request, engine string, attempt int, kind choice.NoticeKind, level float64)
-	Probed(Outcome)
+// ProgressReceiver is implemented by a Client that is to be told the progress of its request: the share done, from 0 to 1.
+type ProgressReceiver interface{ Progress(share float64) }
+
+// AttemptListener receives the events of attempts and probes. Its methods may be called before the call that starts the
+// attempt or probe has returned.
+type AttemptListener interface {
+	AttemptEnded(Outcome)
+	// RequestOverdue reports that the time to wait for an attempt of a request is over, while the end of the attempt is
+	// not known yet. AttemptEnded follows.
+	RequestOverdue(request string)
+	NoticeReceived(request, engine string, attempt int, kind choice.NoticeKind, level float64)
+	ProbeEnded(Outcome)
 }
 
-// Client is owed one of these calls for each request, once; none after Drop.
+// Client receives the answer to a request: exactly one of these calls for each request, and none after Drop.
 type Client interface {
 	Serve(r *result.Set)
-	Refuse(comeBack float64) // ms; 0: no advice
-	Fail(why string)
+	Refuse(retryAfter float64) // ms after which a retry is advised; 0: no advice
+	Fail(message string)
 }
 
 // Attempt is one send of a request.
 type Attempt struct {
 	*Request
-	Engine  string
-	Number  int
-	Grant   float64 // MB; 0: the engine's own choice
-	Threads float64 // that its class runs on
-	Until   float64 // when the wait for it ends
+	Engine    string
+	Number    int
+	Grant     float64 // MB; 0: chosen by the engine
+	Threads   float64 // on which queries of its class run
+	WaitUntil float64 // time at which waiting for its end stops
 
-	NotAfter float64 // time after which it must not be written any more; 0: none but Until
+	NotAfter float64 // time after which it must not be sent any more; 0: only WaitUntil applies
 }
 
-// Expired tells whether the attempt must not be written any more.
+// Expired reports whether the attempt must not be sent any more.
 func (a *Attempt) Expired(now float64) bool {
-	return a.Until-now < 1 || a.NotAfter > 0 && now > a.NotAfter
+	return a.WaitUntil-now < 1 || a.NotAfter > 0 && now > a.NotAfter
 }
 
-// Outcome is how an attempt ended.
+// Outcome describes the end of an attempt or a probe.
 type Outcome struct {
 	Request   string
 	Attempt   int
 	Engine    string
-	End       link.EndReason
-	Took      float64
-	Work, Mem float64
+	EndReason link.EndReason
+	Duration  float64 // ms
+	Work, Mem float64 // CPU ms and MB used, as reported by the engine; 0: not reported
 	Report    choice.Report
-	Result    *result.Set // of a good end
-	Why       string      // what an engine says of a query that it rejects
+	Result    *result.Set // of a served attempt
+	Message   string      // error text of the engine, if it rejected the query
 }
 
-// Engines runs attempts. Each Send and each Probe gets one Ended or Probed.
-type Engines interface {
-	Know(m Member)
-	Only(named map[string]bool)
+// Backend runs attempts on engines. Each Send is followed by one AttemptEnded, and each Probe by one ProbeEnded, of an
+// AttemptListener.
+type Backend interface {
+	Update(e ListedEngine)
+	RemoveUnlisted(listed map[string]bool)
 	Send(a Attempt)
 	Cancel(request string, attempt int)
 	Probe(engine string)
 }
 
-// Member is an entry of the engine list with its address.
-type Member struct {
+// ListedEngine is an entry of the engine list, with the address of the engine.
+type ListedEngine struct {
 	choice.Engine
 	Addr string
 }
 
-// open is a request that is owed its answer, or that has attempts out.
-type open struct {
+// openRequest is a request that has no answer yet or still has attempts in flight.
+type openRequest struct {
 	*Request
-	taken float64
-	count *account.Counts
-	why   string // what a failure is told as: an engine's own words, if it rejected the query
-	grant float64
-	sends int
-	out   int
-	ended bool
-
-	sentAt     float64        // when the latest attempt was sent
-	lastEnd    link.EndReason // of the latest attempt that has ended
-	mayHaveRun bool           // an attempt has ended without proof that it never ran
-	mayRunAt   float64        // when the first such attempt was sent
+	acceptedAt  float64
+	counts      *account.Counts
+	failMessage string // sent to the client on failure; the error text of the engine, if one rejected the query
+	grantMB     float64
+	sends       int // attempts sent
+	inFlight    int // attempts that have not ended
+	answered    bool
+
+	sentAt           float64        // when the latest attempt was sent
+	lastEnd          link.EndReason // end of the latest attempt that has ended
+	mayHaveRun       bool           // an attempt has ended without proof that it never ran
+	mayHaveRunSentAt float64        // time of sending the first such attempt
 }
 
-// Coordinator holds the module's front and what it has in hand. All calls come from the event loop.
+// Coordinator connects the scheduler with clients and backends, and holds all open requests. All its methods are called
+// from the event loop.
 type Coordinator struct {
-	front     *choice.Scheduler
-	now       func() float64
-	deadlines *deadline.Queue
-	engines   Engines
-	wake      func() // asks for a Turn soon
-	requests  map[string]*open
-	events    []choice.Event
-	owed      int
-	classes   map[string]choice.Class
-	tenants   map[string]int // their places in the settings
-	read      Reading
-	roles     map[string]shape.Role
-	doubted   [shape.Doubts]uint64
-	Accounts  account.Book
-	Repeats   account.Reasons // further attempts, by how the attempt before ended
-	GivenUp   account.Reasons // requests refused or failed, by why
-	watch     *watch
-	toldAt    float64
+	scheduler       *choice.Scheduler
+	now             func() float64
+	deadlines       *deadline.Queue
+	backend         Backend
+	wake            func() // requests a call of Turn
+	requests        map[string]*openRequest
+	pendingEvents   []choice.Event
+	unanswered      int // requests without an answer
+	classes         map[string]choice.Class
+	tenantIndexes   map[string]int // positions in the settings
+	statements      StatementOptions
+	roles           map[string]shape.Role
+	unproven        [shape.Doubts]uint64
+	Accounts        account.Counters
+	RetryReasons    account.ReasonCounts // repeated attempts, by the end of the previous attempt
+	UnservedReasons account.ReasonCounts // refused and failed requests, by reason
+	storms          *stormMonitor
+	stormsLoggedAt  float64
 }
 
-// Reading is how statements are recognised.
-type Reading struct {
-	Shapes    *shape.Book
-	Role      func(class string) shape.Role
-	Estimates bool // requests without an estimate get the learned one
-	Faults    *tally.Tally
+// StatementOptions configures how statements are recognized.
+type StatementOptions struct {
+	Shapes        *shape.Book
+	Role          func(class string) shape.Role
+	FillEstimates bool // use the learned estimate for requests without one
+	Faults        *tally.FaultLog
 }
 
-// New starts a front. wake must cause a call of Turn soon, and never from within itself.
-func New(s choice.Settings, now func() float64, d *deadline.Queue, e Engines, wake func(), r Reading) *Coordinator {
-	c := &Coordinator{front: choice.New(s, now()), now: now, deadlines: d, engines: e, wake: wake, read: r,
-		requests: map[string]*open{}, classes: map[string]choice.Class{}, tenants: map[string]int{}, roles: map[string]shape.Role{}}
-	for _, k := range s.Classes {
-		c.classes[k.Name], c.roles[k.Name] = k, r.Role(k.Name)
+// New creates a Coordinator. wake must cause a call of Turn soon, but must not call it directly.
+func New(settings choice.Settings, now func() float64, deadlines *deadline.Queue, backend Backend, wake func(),
+	statements StatementOptions) *Coordinator {
+	c := &Coordinator{scheduler: choice.New(settings, now()), now: now, deadlines: deadlines, backend: backend, wake: wake,
+		statements: statements, requests: map[string]*openRequest{}, classes: map[string]choice.Class{},
+		tenantIndexes: map[string]int{}, roles: map[string]shape.Role{}}
+	for _, class := range settings.Classes {
+		c.classes[class.Name], c.roles[class.Name] = class, statements.Role(class.Name)
 	}
-	for i, t := range s.Tenants {
-		c.tenants[t.Name] = i
+	for i, tenant := range settings.Tenants {
+		c.tenantIndexes[tenant.Name] = i
 	}
-	c.watch = newWatch(c.tenants)
+	c.storms = newStormMonitor(c.tenantIndexes)
 	return c
 }
 
-// Check tells what keeps a request from being taken, by the settings.
+// Check returns an error if the settings do not allow a request to be accepted.
 func (c *Coordinator) Check(r *Request) error {
-	k, ok := c.classes[r.Class]
+	class, ok := c.classes[r.Class]
 	switch {
 	case !ok:
 		return fmt.Errorf("no class %q", r.Class)
-	case len(c.tenants) > 0 && !c.knows(r.Tenant):
+	case len(c.tenantIndexes) > 0 && !c.knowsTenant(r.Tenant):
 		return fmt.Errorf("no tenant %q", r.Tenant)
-	case k.Idempotency == choice.Deduplicated && r.Idem == "":
+	case class.Idempotency == choice.Deduplicated && r.IdempotencyKey == "":
 		return fmt.Errorf("class %s needs an idempotency key", r.Class)
-	case k.InOrder && r.OrderKey == "":
+	case class.InOrder && r.OrderKey == "":
 		return fmt.Errorf("class %s needs a key for its order", r.Class)
 	}
 	return nil
 }
 
-func (c *Coordinator) knows(tenant string) bool {
-	_, ok := c.tenants[tenant]
+func (c *Coordinator) knowsTenant(tenant string) bool {
+	_, ok := c.tenantIndexes[tenant]
 	return ok
 }
 
-// Recognise tells what a request's statement is: it sets Shape and Tables, once.
+// Recognise determines the shape of a request's statement. It sets Shape and Tables on the first call.
 func (c *Coordinator) Recognise(r *Request) {
 	if r.Shape == nil {
-		r.Shape = c.read.Shapes.Look(r.Statement, r.Dialect, c.tenants[r.Tenant])
+		r.Shape = c.statements.Shapes.Look(r.Statement, r.Dialect, c.tenantIndexes[r.Tenant])
 		r.TableGroup = r.Shape.Group
 	}
 }
 
-// judge puts a request whose statement does not bear what its class promises on the safe default: it is taken and
-// passed on as it is, but never sent again once it may have run. Danger: a write told as a lookup would run twice.
-func (c *Coordinator) judge(r *Request) {
+// prepare recognizes a request's statement and fills in a missing estimate of its work. A request whose statement is not
+// proven to keep the promise of its class is still accepted and passed on unchanged, but it is never sent again once it may
+// have run. Danger: without this, a write that its client sends under a class of lookups could run twice.
+func (c *Coordinator) prepare(r *Request) {
 	c.Recognise(r)
-	if d := shape.Judge(c.roles[r.Class], &r.Shape.Info); d != shape.Sure {
-		r.AtMostOnce, r.doubted = true, true
-		c.doubted[d]++
-		c.read.Faults.Add("statement-doubted", "why", d, "class", r.Class, "kind", r.Shape.Kind, "shape", r.Shape.Name())
+	if doubt := shape.Judge(c.roles[r.Class], &r.Shape.Info); doubt != shape.Sure {
+		r.AtMostOnce, r.unproven = true, true
+		c.unproven[doubt]++
+		c.statements.Faults.Add("statement-doubted", "why", doubt, "class", r.Class, "kind", r.Shape.Kind,
+			"shape", r.Shape.Name())
 	}
-	if r.told = r.Work; r.Work <= 0 && c.read.Estimates {
-		if e := c.read.Shapes.Estimate(r.Shape); e.Usable() {
-			r.Work, r.EstimateLearned = e.Work, true
+	if r.clientEstimate = r.Work; r.Work <= 0 && c.statements.FillEstimates {
+		if estimate := c.statements.Shapes.Estimate(r.Shape); estimate.Usable() {
+			r.Work, r.EstimateLearned = estimate.Work, true
 			if r.Mem <= 0 {
-				r.Mem = e.Mem
+				r.Mem = estimate.Mem
 			}
 		}
 	}
 }
 
-// Doubted is how many requests were put on the safe default for a reason.
-func (c *Coordinator) Doubted(d shape.Doubt) uint64 { return c.doubted[d] }
+// Unproven returns the number of requests whose statements were not proven safe to repeat for the given reason.
+func (c *Coordinator) Unproven(doubt shape.Doubt) uint64 { return c.unproven[doubt] }
 
-// Owed is the number of requests without their answer.
-func (c *Coordinator) Owed() int { return c.owed }
+// Unanswered returns the number of requests without an answer.
+func (c *Coordinator) Unanswered() int { return c.unanswered }
 
-func (c *Coordinator) tell(e choice.Event) {
-	c.events = append(c.events, e)
+// enqueue adds an event for the next turn.
+func (c *Coordinator) enqueue(event choice.Event) {
+	c.pendingEvents = append(c.pendingEvents, event)
 	c.wake()
 }
 
-// Take takes a request. It answers at once what it can't hand to the module.
+// Take accepts a request. A request that cannot be passed to the scheduler is failed immediately.
 func (c *Coordinator) Take(r *Request) {
 	if c.requests[r.ID] != nil {
-		// Danger: two requests of one id could not be told apart by the module nor by a worker group.
+		// Danger: neither the scheduler nor a worker group can tell two requests with the same id apart.
 		r.Client.Fail("a request with this id is still open")
 		return
 	}
-	c.judge(r)
-	q := &open{Request: r, taken: c.now(), why: "no worker group could finish it", count: c.Accounts.Of(c.key(r))}
-	q.count.Taken++
-	c.watch.took(r, q.taken)
-	q.count.Asked += c.classes[r.Class].Value
+	c.prepare(r)
+	open := &openRequest{Request: r, acceptedAt: c.now(), failMessage: "no worker group could finish it",
+		counts: c.Accounts.CountsFor(c.accountKey(r))}
+	open.counts.Accepted++
+	c.storms.requestArrived(r, open.acceptedAt)
+	open.counts.ValueRequested += c.classes[r.Class].Value
 	if r.Repeat {
-		q.count.Repeats++
+		open.counts.MarkedRepeats++
 	}
-	if r.doubted {
-		q.count.Doubted++
+	if r.unproven {
+		open.counts.Unproven++
 	}
-	c.requests[r.ID] = q
-	c.owed++
-	logs.Trace("taken", r.ID, "class", r.Class, "key", r.OrderKey, "ms", r.Deadline-q.taken, "work", r.Work)
-	c.tell(r.Request)
+	c.requests[r.ID] = open
+	c.unanswered++
+	logs.Trace("taken", r.ID, "class", r.Class, "key", r.OrderKey, "ms", r.Deadline-open.acceptedAt, "work", r.Work)
+	c.enqueue(r.Request)
 }
 
-// key is what a request is counted under. Danger: where the settings name no tenants a client may name any, and what is
-// counted apart for each would grow without end.
-func (c *Coordinator) key(r *Request) account.Key {
-	k := account.Key{Tenant: r.Tenant, Class: r.Class, Protocol: r.Protocol}
-	if !c.knows(r.Tenant) {
-		k.Tenant = ""
+// accountKey returns the key under which a request is counted. Danger: if the settings name no tenants, clients may send
+// any tenant name, and separate counts for each name would grow without bound.
+func (c *Coordinator) accountKey(r *Request) account.Key {
+	key := account.Key{Tenant: r.Tenant, Class: r.Class, Protocol: r.Protocol}
+	if !c.knowsTenant(r.Tenant) {
+		key.Tenant = ""
 	}
-	return k
+	return key
 }
 
-// Drop ends a request whose client has left. It is owed nothing any more.
+// Drop ends a request whose client has disconnected. The client receives no further calls.
 func (c *Coordinator) Drop(r *Request) {
-	q := c.requests[r.ID]
-	if q == nil || q.Request != r || q.ended {
+	open := c.requests[r.ID]
+	if open == nil || open.Request != r || open.answered {
 		return
 	}
 	logs.Trace("dropped", r.ID)
-	c.end(q, account.Dropped, 0)
-	c.tell(choice.ClientGone{Request: r.ID})
+	c.finish(open, account.Dropped, 0)
+	c.enqueue(choice.ClientGone{Request: r.ID})
 }
 
-// end marks a request as answered, counts how, and forgets it once nothing of it is out. work is what a good answer
-// told of its work, which its aim grows with.
-func (c *Coordinator) end(q *open, e account.Ending, work float64) {
-	if !q.ended {
-		q.ended = true
-		c.owed--
-		k := c.classes[q.Class]
+// finish marks a request as answered, counts its ending, and removes it once no attempt is in flight. work is the work
+// reported with the result; the latency target grows with it. Without it, the estimate is used.
+func (c *Coordinator) finish(open *openRequest, ending account.Ending, work float64) {
+	if !open.answered {
+		open.answered = true
+		c.unanswered--
+		class := c.classes[open.Class]
 		if work <= 0 {
-			work = q.Work
+			work = open.Work
 		}
-		took, aim := c.now()-q.taken, account.Aim(k.LatencyTarget, k.TargetStretch, work, k.Threads)
-		q.count.End(e, took, aim, k.Value, k.LateValueShare)
-		c.watch.ended(q.Request, e, e == account.Served && took <= aim, c.now())
+		elapsed, target := c.now()-open.acceptedAt, account.LatencyTarget(class.LatencyTarget, class.TargetStretch, work, class.Threads)
+		open.counts.RecordEnd(ending, elapsed, target, class.Value, class.LateValueShare)
+		c.storms.requestEnded(open.Request, ending, ending == account.Served && elapsed <= target, c.now())
 	}
-	c.forget(q)
+	c.removeIfDone(open)
 }
 
-func (c *Coordinator) forget(q *open) {
-	if q.ended && q.out == 0 {
-		delete(c.requests, q.ID)
+// removeIfDone removes a request that is answered and has no attempt in flight.
+func (c *Coordinator) removeIfDone(open *openRequest) {
+	if open.answered && open.inFlight == 0 {
+		delete(c.requests, open.ID)
 	}
 }
 
-const watchEvery = 100.0 // ms between two looks at the states of surges
+const stormLogInterval = 100.0 // ms between checks for changed retry storm states
 
-// Leave has the module answer all that is still open, as the program ends.
-func (c *Coordinator) Leave() { c.tell(choice.ShuttingDown{}) }
+// ShutDown makes the scheduler answer all open requests, since the program is about to exit.
+func (c *Coordinator) ShutDown() { c.enqueue(choice.ShuttingDown{}) }
 
-// List takes news of the engine list.
-func (c *Coordinator) List(whole bool, members []Member) {
-	l := choice.EngineList{Complete: whole}
-	named := map[string]bool{}
-	for _, m := range members {
-		named[m.ID] = true
-		c.engines.Know(m)
-		l.Engines = append(l.Engines, m.Engine)
+// UpdateEngines applies a change of the engine list, or a complete list.
+func (c *Coordinator) UpdateEngines(complete bool, engines []ListedEngine) {
+	list := choice.EngineList{Complete: complete}
+	listed := map[string]bool{}
+	for _, e := range engines {
+		listed[e.ID] = true
+		c.backend.Update(e)
+		list.Engines = append(list.Engines, e.Engine)
 	}
-	if whole {
-		c.engines.Only(named)
+	if complete {
+		c.backend.RemoveUnlisted(listed)
 	}
-	c.tell(l)
+	c.enqueue(list)
 }
 
-// Ended takes the end of an attempt. A good one goes to the client at once and ends the request.
-func (c *Coordinator) Ended(o Outcome) {
-	q := c.requests[o.Request]
-	if q == nil {
+// AttemptEnded processes the end of an attempt. A result is sent to the client at once, which ends the request.
+func (c *Coordinator) AttemptEnded(o Outcome) {
+	open := c.requests[o.Request]
+	if open == nil {
 		return
 	}
-	q.out--
-	q.note(o.End)
-	logs.Trace("ended", o.Request, "attempt", o.Attempt, "engine", o.Engine, "end", o.End, "took", o.Took, "answered", q.ended)
-	if o.End == link.Served {
-		c.read.Shapes.Learn(q.Shape, q.told, o.Work, o.Mem)
+	open.inFlight--
+	open.recordEnd(o.EndReason)
+	logs.Trace("ended", o.Request, "attempt", o.Attempt, "engine", o.Engine, "end", o.EndReason, "took", o.Duration,
+		"answered", open.answered)
+	if o.EndReason == link.Served {
+		c.statements.Shapes.Learn(open.Shape, open.clientEstimate, o.Work, o.Mem)
 	}
-	if o.End == link.Served && !q.ended {
-		o.Result.Verb = q.Shape.Verb
-		q.Client.Serve(o.Result)
-		c.end(q, account.Served, o.Work)
+	if o.EndReason == link.Served && !open.answered {
+		o.Result.Verb = open.Shape.Verb
+		open.Client.Serve(o.Result)
+		c.finish(open, account.Served, o.Work)
 	}
-	if o.Why != "" {
-		q.why = o.Why
+	if o.Message != "" {
+		open.failMessage = o.Message
 	}
-	ended := q.ended
-	c.forget(q)
-	c.tell(choice.Outcome{Request: o.Request, Attempt: o.Attempt, Engine: o.Engine, Result: o.End.Result(),
-		Duration: o.Took, RequestEnded: ended, Work: o.Work, Mem: o.Mem, Report: o.Report})
+	answered := open.answered
+	c.removeIfDone(open)
+	c.enqueue(choice.Outcome{Request: o.Request, Attempt: o.Attempt, Engine: o.Engine, Result: o.EndReason.Result(),
+		Duration: o.Duration, RequestEnded: answered, Work: o.Work, Mem: o.Mem, Report: o.Report})
 }
 
-// Overdue takes word that a request's time is over while its attempt may still run.
-func (c *Coordinator) Overdue(request string) {
+// RequestOverdue tells the scheduler that the time of a request is over while its attempt may still run.
+func (c *Coordinator) RequestOverdue(request string) {
 	if c.requests[request] != nil {
 		logs.Trace("overdue", request)
-		c.tell(choice.Overdue{Request: request})
+		c.enqueue(choice.Overdue{Request: request})
 	}
 }
 
-// Noted takes word on an attempt that is out.
-func (c *Coordinator) Noted(request, engine string, attempt int, kind choice.NoticeKind, level float64) {
-	if q := c.requests[request]; q != nil {
-		if w, ok := q.Client.(Follower); ok && kind == choice.NoticeProgress && !q.ended {
-			w.Progress(level)
+// NoticeReceived processes a progress notice of an attempt in flight.
+func (c *Coordinator) NoticeReceived(request, engine string, attempt int, kind choice.NoticeKind, level float64) {
+	if open := c.requests[request]; open != nil {
+		if receiver, ok := open.Client.(ProgressReceiver); ok && kind == choice.NoticeProgress && !open.answered {
+			receiver.Progress(level)
 		}
-		c.tell(choice.Notice{Request: request, Attempt: attempt, Engine: engine, Kind: kind, Level: level})
+		c.enqueue(choice.Notice{Request: request, Attempt: attempt, Engine: engine, Kind: kind, Level: level})
 	}
 }
 
-// Probed takes the end of a probe.
-func (c *Coordinator) Probed(o Outcome) {
-	c.tell(choice.ProbeResult{Engine: o.Engine, Result: o.End.Result(), Duration: o.Took, Report: o.Report})
+// ProbeEnded processes the end of a probe.
+func (c *Coordinator) ProbeEnded(o Outcome) {
+	c.enqueue(choice.ProbeResult{Engine: o.Engine, Result: o.EndReason.Result(), Duration: o.Duration, Report: o.Report})
 }
 
-// Turn lets the module answer what has come in, in one step. What its actions bring about at once waits for the
-// next turn.
+// Turn passes all pending events to the scheduler in one step and performs the resulting actions. Events that these
+// actions cause immediately are left for the next turn.
 func (c *Coordinator) Turn() {
-	if len(c.events) == 0 {
+	if len(c.pendingEvents) == 0 {
 		return
 	}
-	events := c.events
-	c.events = nil
-	if now := c.now(); now >= c.toldAt+watchEvery {
-		c.toldAt = now
-		c.watch.tell(now)
+	events := c.pendingEvents
+	c.pendingEvents = nil
+	if now := c.now(); now >= c.stormsLoggedAt+stormLogInterval {
+		c.stormsLoggedAt = now
+		c.storms.logChanges(now)
 	}
-	for _, a := range c.front.Step(c.now(), events) {
+	for _, a := range c.scheduler.Step(c.now(), events) {
 		c.perform(a)
 	}
 }
 
+// perform carries out one action of the scheduler.
 func (c *Coordinator) perform(a choice.Action) {
 	switch a := a.(type) {
 	case choice.Send:
 		c.send(a)
 	case choice.SendOptions:
-		if q := c.requests[a.Request]; q != nil {
-			q.grant = a.Grant
+		if open := c.requests[a.Request]; open != nil {
+			open.grantMB = a.Grant
 		}
 	case choice.Cancel:
 		logs.Trace("cancel", a.Request, "attempt", a.Attempt)
-		c.engines.Cancel(a.Request, a.Attempt)
+		c.backend.Cancel(a.Request, a.Attempt)
 	case choice.Refuse:
-		if q := c.requests[a.Request]; q != nil && !q.ended {
-			logs.Trace("refused", a.Request, "sends", q.sends, "why", a.Reason)
-			c.GivenUp.Add(q.Class, a.Reason.String())
-			c.end(q, account.Refused, 0)
-			q.Client.Refuse(a.RetryAfter)
+		if open := c.requests[a.Request]; open != nil && !open.answered {
+			logs.Trace("refused", a.Request, "sends", open.sends, "why", a.Reason)
+			c.UnservedReasons.Add(open.Class, a.Reason.String())
+			c.finish(open, account.Refused, 0)
+			open.Client.Refuse(a.RetryAfter)
 		}
 	case choice.Fail:
-		if q := c.requests[a.Request]; q != nil && !q.ended {
-			logs.Trace("failed", a.Request, "sends", q.sends, "why", a.Reason)
-			c.GivenUp.Add(q.Class, a.Reason.String())
-			c.end(q, account.Failed, 0)
-			q.Client.Fail(q.why)
+		if open := c.requests[a.Request]; open != nil && !open.answered {
+			logs.Trace("failed", a.Request, "sends", open.sends, "why", a.Reason)
+			c.UnservedReasons.Add(open.Class, a.Reason.String())
+			c.finish(open, account.Failed, 0)
+			open.Client.Fail(open.failMessage)
 		}
 	case choice.Wake:
-		e := &deadline.Entry{Do: func() { c.tell(choice.Timer{Token: a.Token}) }}
-		c.deadlines.Set(e, a.At)
+		entry := &deadline.Entry{Do: func() { c.enqueue(choice.Timer{Token: a.Token}) }}
+		c.deadlines.Set(entry, a.At)
 	case choice.Probe:
-		c.engines.Probe(a.Engine)
+		c.backend.Probe(a.Engine)
 	case choice.Log:
 		slog.Info("module", "text", a.Text)
 	}
-	// Subscribe and Tell have no counterpart: the notice board tells without being asked, and coordinators do
-	// not talk to each other.
+	// Subscribe and SendToPeer are ignored: the discovery service sends changes without a request, and coordinators
+	// exchange no messages.
 }
 
+// send starts an attempt of a request.
 func (c *Coordinator) send(a choice.Send) {
-	q := c.requests[a.Request]
-	if q == nil || q.ended {
-		return // it has no attempt to end: the module knows of the end, or will at its next step
+	open := c.requests[a.Request]
+	if open == nil || open.answered {
+		return // no attempt is needed: the scheduler knows that the request has ended, or learns it in its next step
 	}
-	n := q.sends
-	q.sends++
-	q.out++
-	q.count.Sends++
-	if n > 0 {
-		c.repeat(q, a.Engine, n)
+	number := open.sends
+	open.sends++
+	open.inFlight++
+	open.counts.Attempts++
+	if number > 0 {
+		c.recordRetry(open, a.Engine, number)
 	}
-	q.sentAt = c.now()
-	logs.Trace("send", a.Request, "attempt", n, "engine", a.Engine)
-	until := q.Deadline
-	if t := c.now() + a.Timeout; a.Timeout > 0 && t < until {
-		until = t
+	open.sentAt = c.now()
+	logs.Trace("send", a.Request, "attempt", number, "engine", a.Engine)
+	waitUntil := open.Deadline
+	if t := c.now() + a.Timeout; a.Timeout > 0 && t < waitUntil {
+		waitUntil = t
 	}
-	c.engines.Send(Attempt{Request: q.Request, Engine: a.Engine, Number: n, Grant: q.grant, Until: until, NotAfter: a.NotAfter,
-		Threads: max(c.classes[q.Class].Threads, 1)})
+	c.backend.Send(Attempt{Request: open.Request, Engine: a.Engine, Number: number, Grant: open.grantMB, WaitUntil: waitUntil,
+		NotAfter: a.NotAfter, Threads: max(c.classes[open.Class].Threads, 1)})
 }
--- a/internal/coordinator/mux.go
+++ b/internal/coordinator/mux.go
@@ -2,61 +2,61 @@
 
 import "thymeway/choice"
 
-// Mux sends each attempt to the side that speaks its engine's protocol.
+// Mux is a Backend that passes each call to the Backend for the protocol of the engine.
 type Mux struct {
-	Sides []Engines
-	Side  func(m Member) int // which of Sides an engine belongs to
-	of    map[string]Engines // by engine
+	Backends     []Backend
+	BackendIndex func(e ListedEngine) int // position in Backends of an engine's backend
+	byEngine     map[string]Backend       // by engine id
 }
 
-// Know takes an entry of the list.
-func (m *Mux) Know(x Member) {
-	if m.of == nil {
-		m.of = map[string]Engines{}
+// Update applies an entry of the engine list.
+func (m *Mux) Update(e ListedEngine) {
+	if m.byEngine == nil {
+		m.byEngine = map[string]Backend{}
 	}
-	side, was := m.of[x.ID], m.of[x.ID]
-	if was == nil || x.Kind != "" {
-		side = m.Sides[m.Side(x)]
+	backend, previous := m.byEngine[e.ID], m.byEngine[e.ID]
+	if previous == nil || e.Kind != "" {
+		backend = m.Backends[m.BackendIndex(e)]
 	}
-	if was != nil && was != side { // it came back as another kind
-		was.Know(Member{Engine: choice.Engine{ID: x.ID, Status: choice.Removed}})
+	if previous != nil && previous != backend { // the engine was listed again with another kind
+		previous.Update(ListedEngine{Engine: choice.Engine{ID: e.ID, Status: choice.Removed}})
 	}
-	m.of[x.ID] = side
-	side.Know(x)
-	if x.Status == choice.Removed {
-		delete(m.of, x.ID)
+	m.byEngine[e.ID] = backend
+	backend.Update(e)
+	if e.Status == choice.Removed {
+		delete(m.byEngine, e.ID)
 	}
 }
 
-// Only takes a whole list.
-func (m *Mux) Only(named map[string]bool) {
-	for id := range m.of {
-		if !named[id] {
-			delete(m.of, id)
+// RemoveUnlisted applies a complete engine list: engines that it does not name are removed.
+func (m *Mux) RemoveUnlisted(listed map[string]bool) {
+	for id := range m.byEngine {
+		if !listed[id] {
+			delete(m.byEngine, id)
 		}
 	}
-	for _, s := range m.Sides {
-		s.Only(named)
+	for _, b := range m.Backends {
+		b.RemoveUnlisted(listed)
 	}
 }
 
-// side is an engine's; one that is not known goes to the first, which answers for it.
-func (m *Mux) side(engine string) Engines {
-	if s := m.of[engine]; s != nil {
-		return s
+// backendFor returns the backend of an engine. An unknown engine belongs to the first backend, which reports the error.
+func (m *Mux) backendFor(engine string) Backend {
+	if b := m.byEngine[engine]; b != nil {
+		return b
 	}
-	return m.Sides[0]
+	return m.Backends[0]
 }
 
 // Send starts an attempt.
-func (m *Mux) Send(a Attempt) { m.side(a.Engine).Send(a) }
+func (m *Mux) Send(a Attempt) { m.backendFor(a.Engine).Send(a) }
 
-// Cancel gives an attempt up. Only the side that has it knows of it.
+// Cancel cancels an attempt. Backends that do not run it ignore the call.
 func (m *Mux) Cancel(request string, attempt int) {
-	for _, s := range m.Sides {
-		s.Cancel(request, attempt)
+	for _, b := range m.Backends {
+		b.Cancel(request, attempt)
 	}
 }
 
-// Probe asks an engine for its report.
-func (m *Mux) Probe(engine string) { m.side(engine).Probe(engine) }
+// Probe requests a load report of an engine.
+func (m *Mux) Probe(engine string) { m.backendFor(engine).Probe(engine) }
--- a/internal/coordinator/repeat.go
+++ b/internal/coordinator/repeat.go
@@ -8,23 +8,23 @@
 	"thymeway/internal/logs"
 )
 
-// note keeps what later attempts of a request are judged by: how the latest ended, and whether any may have run.
-func (q *open) note(end link.EndReason) {
-	q.lastEnd = end
-	if end.Result().MayHaveRun() && !q.mayHaveRun {
-		q.mayHaveRun, q.mayRunAt = true, q.sentAt
+// recordEnd records the end of an attempt: the reason of the latest end, and whether any attempt may have run.
+func (r *openRequest) recordEnd(end link.EndReason) {
+	r.lastEnd = end
+	if end.Result().MayHaveRun() && !r.mayHaveRun {
+		r.mayHaveRun, r.mayHaveRunSentAt = true, r.sentAt
 	}
 }
 
-// repeat counts a further attempt. One that could break a rule, of a class that bears no second run beyond its window, is
-// logged with its age, so that the log alone shows whether it was allowed.
-func (c *Coordinator) repeat(q *open, engine string, attempt int) {
-	c.Repeats.Add(q.Class, q.lastEnd.String())
-	class := c.classes[q.Class]
-	if class.Idempotency == choice.Idempotent || !q.mayHaveRun {
-		logs.Trace("repeat", q.ID, "attempt", attempt, "engine", engine, "after", q.lastEnd)
+// recordRetry counts a repeated attempt. If an attempt may have run already and the class does not allow repeats at any
+// time, the repeat is logged with its age, so that the log alone shows whether it kept within the deduplication window.
+func (c *Coordinator) recordRetry(open *openRequest, engine string, attempt int) {
+	c.RetryReasons.Add(open.Class, open.lastEnd.String())
+	class := c.classes[open.Class]
+	if class.Idempotency == choice.Idempotent || !open.mayHaveRun {
+		logs.Trace("repeat", open.ID, "attempt", attempt, "engine", engine, "after", open.lastEnd)
 		return
 	}
-	slog.Info("repeat", "id", q.ID, "class", q.Class, "attempt", attempt, "engine", engine, "after", q.lastEnd,
-		"first_sent_ms_ago", c.now()-q.mayRunAt, "window_ms", class.DedupWindow)
+	slog.Info("repeat", "id", open.ID, "class", open.Class, "attempt", attempt, "engine", engine, "after", open.lastEnd,
+		"first_sent_ms_ago", c.now()-open.mayHaveRunSentAt, "window_ms", class.DedupWindow)
 }
--- a/internal/coordinator/watch.go
+++ b/internal/coordinator/watch.go
@@ -9,88 +9,96 @@
 	"thymeway/internal/surge"
 )
 
-// watch sees storms: for each member and for all, how much of what comes is a repeat and how much ends in vain.
-type watch struct {
-	all     surge.Pressure
-	by      map[string]*surge.Pressure
-	repeats *surge.Repeats
-	told    map[string]surge.State // as last logged, by member; "" for all
+// stormMonitor detects retry storms, for each tenant and for all tenants together, from the share of repeats among requests
+// and the share of requests that end without a timely result.
+type stormMonitor struct {
+	total        surge.Detector
+	byTenant     map[string]*surge.Detector
+	repeats      *surge.RepeatSketch
+	loggedStates map[string]surge.State // as last logged, by tenant; "" for all tenants
 }
 
-const repeatSpan = 3000.0 // ms in which a request of the same key counts as a repeat of one that was refused
+const repeatWindow = 3000.0 // ms after a refusal in which a request with the same key counts as its repeat
 
-func newWatch(tenants map[string]int) *watch {
-	w := &watch{by: map[string]*surge.Pressure{}, repeats: surge.NewRepeats(repeatSpan), told: map[string]surge.State{}}
-	for t := range tenants {
-		w.by[t] = &surge.Pressure{}
+func newStormMonitor(tenants map[string]int) *stormMonitor {
+	m := &stormMonitor{byTenant: map[string]*surge.Detector{}, repeats: surge.NewRepeatSketch(repeatWindow),
+		loggedStates: map[string]surge.State{}}
+	for tenant := range tenants {
+		m.byTenant[tenant] = &surge.Detector{}
 	}
-	return w
+	return m
 }
 
-// key is what a repeat shares with its first try where no client marks it: the idempotency key, else the statement's
-// shape.
-func (r *Request) key() uint64 {
-	h := xxh3.HashString(r.Tenant + "\x00" + r.Class + "\x00" + r.Idem)
-	if r.ownIdem() {
-		h = xxh3.HashString(r.Tenant+"\x00"+r.Class) ^ r.Shape.ID
+// repeatKey returns a hash that a request and its unmarked repeats have in common: of the idempotency key, or of the
+// statement's shape if the client sent no key.
+func (r *Request) repeatKey() uint64 {
+	hash := xxh3.HashString(r.Tenant + "\x00" + r.Class + "\x00" + r.IdempotencyKey)
+	if r.hasGeneratedKey() {
+		hash = xxh3.HashString(r.Tenant+"\x00"+r.Class) ^ r.Shape.ID
 	}
-	return h
+	return hash
 }
 
-// ownIdem tells whether the request's idempotency key is its own, so that it says nothing of repeats.
-func (r *Request) ownIdem() bool { return r.Idem == "" || r.Idem == "once-"+r.ID }
+// hasGeneratedKey reports whether the idempotency key is missing or generated from the request's id, so that a repeat has
+// another key.
+func (r *Request) hasGeneratedKey() bool {
+	return r.IdempotencyKey == "" || r.IdempotencyKey == "once-"+r.ID
+}
 
-func (w *watch) each(tenant string, f func(*surge.Pressure)) {
-	f(&w.all)
-	if p := w.by[tenant]; p != nil {
-		f(p)
+// forEachDetector calls f with the detector for all tenants and with that of the given tenant, if it has one.
+func (m *stormMonitor) forEachDetector(tenant string, f func(*surge.Detector)) {
+	f(&m.total)
+	if d := m.byTenant[tenant]; d != nil {
+		f(d)
 	}
 }
 
-// took counts a request. PostgreSQL clients mark their repeats; those of other protocols are known by their key.
-func (w *watch) took(r *Request, now float64) {
+// requestArrived counts a request. PostgreSQL clients mark their repeats; repeats of ClickHouse clients are detected by
+// their repeatKey.
+func (m *stormMonitor) requestArrived(r *Request, now float64) {
 	repeat := r.Repeat
-	if r.CH != nil && !repeat {
-		repeat = w.repeats.Arrived(r.key(), now)
+	if r.ClickHouse != nil && !repeat {
+		repeat = m.repeats.MatchArrival(r.repeatKey(), now)
 	}
-	w.each(r.Tenant, func(p *surge.Pressure) { p.Arrived(now, repeat) })
+	m.forEachDetector(r.Tenant, func(d *surge.Detector) { d.Arrived(now, repeat) })
 }
 
-// ended counts how a request ended; good is an answer in its aim.
-func (w *watch) ended(r *Request, e account.Ending, good bool, now float64) {
-	if e == account.Refused && r.CH != nil {
-		w.repeats.Refused(r.key(), now)
+// requestEnded counts the ending of a request; onTime means that it was served within its latency target.
+func (m *stormMonitor) requestEnded(r *Request, ending account.Ending, onTime bool, now float64) {
+	if ending == account.Refused && r.ClickHouse != nil {
+		m.repeats.AddRefusal(r.repeatKey(), now)
 	}
-	w.each(r.Tenant, func(p *surge.Pressure) { p.Ended(now, good) })
+	m.forEachDetector(r.Tenant, func(d *surge.Detector) { d.Ended(now, onTime) })
 }
 
-// tell logs states that have changed.
-func (w *watch) tell(now float64) {
-	one := func(tenant string, p *surge.Pressure) {
-		s, _ := p.State(now)
-		if s == w.told[tenant] {
+// logChanges logs the states that have changed since they were last logged.
+func (m *stormMonitor) logChanges(now float64) {
+	logIfChanged := func(tenant string, d *surge.Detector) {
+		state, _ := d.State(now)
+		if state == m.loggedStates[tenant] {
 			return
 		}
-		slog.Warn("surge", "tenant", tenant, "state", s, "was", w.told[tenant], "repeats", round(p.RepeatShare(now)), "vain", round(p.VainShare(now)),
-			"service", round(p.Service(now)))
-		w.told[tenant] = s
+		slog.Warn("surge", "tenant", tenant, "state", state, "was", m.loggedStates[tenant],
+			"repeats", roundToHundredths(d.RepeatShare(now)), "vain", roundToHundredths(d.FailureShare(now)),
+			"service", roundToHundredths(d.GoodputRatio(now)))
+		m.loggedStates[tenant] = state
 	}
-	one("", &w.all)
-	for t, p := range w.by {
-		one(t, p)
+	logIfChanged("", &m.total)
+	for name, d := range m.byTenant {
+		logIfChanged(name, d)
 	}
 }
 
-func round(v float64) float64 { return float64(int(v*100+0.5)) / 100 }
+func roundToHundredths(v float64) float64 { return float64(int(v*100+0.5)) / 100 }
 
-// Surge is the state of a member, or of all with the empty name.
-func (c *Coordinator) Surge(tenant string) surge.State {
-	p := &c.watch.all
+// StormState returns the retry storm state of a tenant, or of all tenants together for the empty name.
+func (c *Coordinator) StormState(tenant string) surge.State {
+	detector := &c.storms.total
 	if tenant != "" {
-		if p = c.watch.by[tenant]; p == nil {
+		if detector = c.storms.byTenant[tenant]; detector == nil {
 			return surge.Calm
 		}
 	}
-	s, _ := p.State(c.now())
-	return s
+	state, _ := detector.State(c.now())
+	return state
 }
--- a/internal/fields/fields.go
+++ b/internal/fields/fields.go
@@ -53,7 +53,7 @@
 				err = fmt.Errorf("%.40q is not 1", v)
 			}
 		case "unique":
-			r.Idem, err = Word(v)
+			r.IdempotencyKey, err = Word(v)
 		case "cpu":
 			r.Work, err = amount(v, mostWork)
 		case "heap_mb":
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -91,8 +91,8 @@
 	gauge(failed, 0)
 	for _, r := range s.Accounts {
 		k := []string{r.Tenant, r.Class, r.Protocol}
-		count(requests, float64(r.Taken), k...)
-		count(repeats, float64(r.Repeats), k...)
+		count(requests, float64(r.Accepted), k...)
+		count(repeats, float64(r.MarkedRepeats), k...)
 		for _, e := range []struct {
 			name string
 			n    uint64
@@ -100,15 +100,15 @@
 			count(answers, float64(e.n), append([]string{e.name}, k...)...)
 		}
 		count(late, float64(r.Late), k...)
-		count(sends, float64(r.Sends), k...)
-		count(asked, r.Asked, k...)
-		count(earned, r.Earned, k...)
+		count(sends, float64(r.Attempts), k...)
+		count(asked, r.ValueRequested, k...)
+		count(earned, r.ValueServed, k...)
 		under, sum := map[float64]uint64{}, uint64(0)
-		for i, b := range account.Bounds {
-			sum += r.Under[i]
+		for i, b := range account.LatencyBounds {
+			sum += r.LatencyBuckets[i]
 			under[b/1000] = sum
 		}
-		ch <- prometheus.MustNewConstHistogram(seconds, r.Served, r.Millis/1000, under, k...)
+		ch <- prometheus.MustNewConstHistogram(seconds, r.Served, r.LatencySumMs/1000, under, k...)
 	}
 	for why, n := range s.Doubts {
 		count(doubts, float64(n), why)
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -34,11 +34,11 @@
 
 // What was counted is told under its member, class and protocol; a loop that does not answer is told as that.
 func TestScrape(t *testing.T) {
-	var b account.Book
-	c := b.Of(account.Key{Tenant: "acme", Class: "lookup", Protocol: "clickhouse"})
-	c.Taken, c.Asked, c.Sends = 3, 3, 4
-	c.End(account.Served, 30, 1000, 1, 0.5)
-	c.End(account.Refused, 0, 0, 1, 0)
+	var b account.Counters
+	c := b.CountsFor(account.Key{Tenant: "acme", Class: "lookup", Protocol: "clickhouse"})
+	c.Accepted, c.ValueRequested, c.Attempts = 3, 3, 4
+	c.RecordEnd(account.Served, 30, 1000, 1, 0.5)
+	c.RecordEnd(account.Refused, 0, 0, 1, 0)
 	text := scrape(t, func(context.Context) (Snapshot, error) {
 		return Snapshot{Accounts: b.Rows(), Doubts: map[string]uint64{"malformed": 2}, Owed: 1,
 			Repeats: []account.ReasonRow{{ReasonKey: account.ReasonKey{Class: "load", Reason: "silent"}, Count: 2}},
--- a/internal/node/keep_test.go
+++ b/internal/node/keep_test.go
@@ -19,7 +19,7 @@
 // starts empty and replaces it.
 func TestShapesAreKept(t *testing.T) {
 	c := conftest.Example(t)
-	c.Own.Shapes.File, c.Own.Shapes.Every = filepath.Join(t.TempDir(), "shapes"), 1000
+	c.Local.Shapes.File, c.Local.Shapes.SaveInterval = filepath.Join(t.TempDir(), "shapes"), 1000
 	var out bytes.Buffer
 	before := slog.Default()
 	slog.SetDefault(logs.New(&out, slog.LevelInfo))
@@ -53,7 +53,7 @@
 		}
 		n.Close()
 	}
-	whole, err := os.ReadFile(c.Own.Shapes.File)
+	whole, err := os.ReadFile(c.Local.Shapes.File)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -62,7 +62,7 @@
 		want string
 	}{{whole[:len(whole)/2], "torn"}, {[]byte("something else"), "not a snapshot"}, {snapshot.Seal(shape.DumpKind, shape.DumpVersion+1, nil), "newer"},
 		{snapshot.Seal(shape.DumpKind, shape.DumpVersion, []byte("junk")), "can't be read"}} {
-		if err := os.WriteFile(c.Own.Shapes.File, x.b, 0o600); err != nil {
+		if err := os.WriteFile(c.Local.Shapes.File, x.b, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		n, _ = start()
--- a/internal/node/mixed_test.go
+++ b/internal/node/mixed_test.go
@@ -229,7 +229,7 @@
 // order of runs by key and the accounts over all protocols.
 func play(t *testing.T, seed int64, web func(i int) bool) (answers []string, order map[string][]string, sum map[string]account.Counts) {
 	c := conftest.Example(t)
-	c.Own.CH.Listen = "127.0.0.1:8123"
+	c.Local.ClickHouse.Listen = "127.0.0.1:8123"
 	w := &world{t: t, now: start, queue: deadline.New(), rand: rand.New(rand.NewSource(seed)), runs: map[string]*ran{}}
 	var err error
 	w.n, err = New(c, w, w.queue, func() float64 { return w.now }, func() { w.woken = true })
@@ -302,8 +302,8 @@
 		s.Add(&r.Counts)
 		sum[r.Tenant+" "+r.Class] = s
 	}
-	if w.n.Coordinator.Owed() != 0 || w.n.out() != 0 {
-		t.Errorf("%d answers owed, %d attempts out at the end", w.n.Coordinator.Owed(), w.n.out())
+	if w.n.Coordinator.Unanswered() != 0 || w.n.out() != 0 {
+		t.Errorf("%d answers owed, %d attempts out at the end", w.n.Coordinator.Unanswered(), w.n.out())
 	}
 	return answers, order, sum
 }
@@ -335,8 +335,8 @@
 			}
 			for k, want := range sum {
 				got := s[k]
-				if got.Taken != want.Taken || got.Served != want.Served || got.Refused != want.Refused || got.Failed != want.Failed ||
-					got.Sends != want.Sends || got.Asked != want.Asked || got.Earned != want.Earned || got.Open() != 0 {
+				if got.Accepted != want.Accepted || got.Served != want.Served || got.Refused != want.Refused || got.Failed != want.Failed ||
+					got.Attempts != want.Attempts || got.ValueRequested != want.ValueRequested || got.ValueServed != want.ValueServed || got.Open() != 0 {
 					t.Errorf("seed %d, %s: %s: %+v, over PostgreSQL %+v", seed, name, k, got, want)
 				}
 			}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -54,10 +54,10 @@
 	Coordinator *coordinator.Coordinator
 	Sessions    *pg.Sessions
 	Front       *chhttp.Front // nil: no ClickHouse clients are served
-	Watch       *board.Watch
+	Watch       *board.Watcher
 	Shapes      *shape.Book
 	Clock       *clock.Monitor // nil: the wall clock is not watched
-	seats       *seats.Seats
+	seats       *seats.Limiter
 	keeper      *snapshot.Keeper // nil: shapes are not kept
 	fleet       *rest.Fleet
 	ch          *chengine.Fleet // nil: no engine speaks ClickHouse's interface
@@ -69,50 +69,50 @@
 
 // New puts a coordinator together. wake must cause a turn soon: a sweep of the queue and a call of Turn.
 func New(c config.Config, d link.Dialer, queue *deadline.Queue, now func() float64, wake func()) (*Node, error) {
-	faults := &tally.Tally{Now: now}
+	faults := &tally.FaultLog{Now: now}
 	fleet := &rest.Fleet{Dialer: d, Deadlines: queue, Now: now, Faults: faults, ConnectTimeout: c.ConnectTimeout,
-		ConnIdleTimeout: c.ConnIdle * idleShare, MaxConns: int(float64(c.Sockets) * engineShare)}
+		ConnIdleTimeout: c.ConnIdleTimeout * idleShare, MaxConns: int(float64(c.Sockets) * engineShare)}
 	book := shape.NewBook(shape.Options{Bytes: c.ShapeBytes(), Seed: c.Seed})
-	keeper := remember(book, c.Own.Shapes)
-	engines, ch := coordinator.Engines(fleet), (*chengine.Fleet)(nil)
+	keeper := remember(book, c.Local.Shapes)
+	engines, ch := coordinator.Backend(fleet), (*chengine.Fleet)(nil)
 	speaks := func(k config.Kind) bool { return k.Protocol == "clickhouse" }
-	if slices.ContainsFunc(slices.Collect(maps.Values(c.Own.Kinds)), speaks) {
+	if slices.ContainsFunc(slices.Collect(maps.Values(c.Local.Kinds)), speaks) {
 		fleet.MaxConns /= 2
-		ch = &chengine.Fleet{Dialer: d, Deadlines: queue, Now: now, Faults: faults, ConnIdle: min(c.ConnIdle*idleShare, chIdle),
-			MostWires: fleet.MaxConns, MostResult: c.Own.CH.MostResult,
-			Login:    func(kind string) (string, string) { return c.Own.Kinds[kind].User, c.Own.Kinds[kind].Password },
+		ch = &chengine.Fleet{Dialer: d, Deadlines: queue, Now: now, Faults: faults, ConnIdle: min(c.ConnIdleTimeout*idleShare, chIdle),
+			MostWires: fleet.MaxConns, MostResult: c.Local.ClickHouse.MaxResultBytes,
+			Login:    func(kind string) (string, string) { return c.Local.Kinds[kind].User, c.Local.Kinds[kind].Password },
 			MostHeld: int(c.MemoryMB * (1 << 20) * resultShare)}
-		engines = &coordinator.Mux{Sides: []coordinator.Engines{fleet, ch}, Side: func(m coordinator.Member) int {
-			if speaks(c.Own.Kinds[m.Kind]) {
+		engines = &coordinator.Mux{Backends: []coordinator.Backend{fleet, ch}, BackendIndex: func(m coordinator.ListedEngine) int {
+			if speaks(c.Local.Kinds[m.Kind]) {
 				return 1
 			}
 			return 0
 		}}
 	}
 	wires := fleet.MaxConns
-	coord := coordinator.New(c.Choice, now, queue, engines, wake,
-		coordinator.Reading{Shapes: book, Role: c.Classify().Role, Estimates: c.Own.Shapes.Estimates, Faults: faults})
+	coord := coordinator.New(c.Scheduler, now, queue, engines, wake,
+		coordinator.StatementOptions{Shapes: book, Role: c.ClassRules().Role, FillEstimates: c.Local.Shapes.FillEstimates, Faults: faults})
 	fleet.Watcher = coord
 	if ch != nil {
 		ch.Watcher, wires = coord, 2*wires
 	}
 	clients := max(c.Sockets-wires-reserve, 1)
-	places := &seats.Seats{Most: clients, Faults: faults}
+	places := &seats.Limiter{MaxConnections: clients, Faults: faults}
 	n := &Node{Coordinator: coord, Shapes: book, seats: places, ch: ch, fleet: fleet, queue: queue, now: now, config: c,
 		Sessions: &pg.Sessions{Coordinator: coord, Deadlines: queue, Faults: faults, Now: now, Margin: answerMargin, Seats: places,
 			MostInput: min(max(int(c.MemoryMB*(1<<20)*inputShare)/clients, leastInput), mostInput),
 			Random:    rand.New(rand.NewSource(int64(c.Seed) + 1))},
-		Watch: &board.Watch{Dialer: d, Deadlines: queue, Now: now, Listener: coord, Addr: c.Board, Connect: 2 * c.ConnectTimeout,
-			WarmAfter: c.Choice.WarmUpTime}}
-	if c.Own.CH.Listen != "" {
+		Watch: &board.Watcher{Dialer: d, Deadlines: queue, Now: now, Listener: coord, Addr: c.DiscoveryAddr, ConnectTimeout: 2 * c.ConnectTimeout,
+			WarmUpTime: c.Scheduler.WarmUpTime}}
+	if c.Local.ClickHouse.Listen != "" {
 		n.Front = &chhttp.Front{Coordinator: coord, Deadlines: queue, Faults: faults, Now: now, Margin: answerMargin, Seats: places,
 			Random: rand.New(rand.NewSource(int64(c.Seed) + 2)), Config: c, MostHeld: int(c.MemoryMB * (1 << 20) * bodyShare)}
 		n.Front.Start()
 	}
 	if n.keeper = keeper; keeper != nil {
-		n.keep(c.Own.Shapes.Every)
+		n.keep(c.Local.Shapes.SaveInterval)
 	}
-	return n, n.Watch.Known(c.Known)
+	return n, n.Watch.LoadKnown(c.Known)
 }
 
 // remember fills a Book from its file, if there is to be one. What can't be believed is told, and the Book stays empty.
@@ -163,17 +163,17 @@
 // Snapshot is a copy of what is counted, for others than the loop.
 func (n *Node) Snapshot() metrics.Snapshot {
 	s := metrics.Snapshot{Accounts: n.Coordinator.Accounts.Rows(), Shapes: n.Shapes.Stats(), Doubts: map[string]uint64{},
-		Owed: n.Coordinator.Owed(), Out: n.out(), Clients: n.seats.Count(),
-		Repeats: n.Coordinator.Repeats.Rows(), GivenUp: n.Coordinator.GivenUp.Rows()}
+		Owed: n.Coordinator.Unanswered(), Out: n.out(), Clients: n.seats.Count(),
+		Repeats: n.Coordinator.RetryReasons.Rows(), GivenUp: n.Coordinator.UnservedReasons.Rows()}
 	if n.Clock != nil {
 		s.Clock = n.Clock.State()
 	}
-	s.Surges = map[string]surge.State{"": n.Coordinator.Surge("")}
-	for _, t := range n.config.Choice.Tenants {
-		s.Surges[t.Name] = n.Coordinator.Surge(t.Name)
+	s.Surges = map[string]surge.State{"": n.Coordinator.StormState("")}
+	for _, t := range n.config.Scheduler.Tenants {
+		s.Surges[t.Name] = n.Coordinator.StormState(t.Name)
 	}
 	for d := shape.Sure + 1; d < shape.Doubts; d++ {
-		if k := n.Coordinator.Doubted(d); k > 0 {
+		if k := n.Coordinator.Unproven(d); k > 0 {
 			s.Doubts[d.String()] = k
 		}
 	}
@@ -208,8 +208,8 @@
 		slog.Error("reload-refused", "error", err)
 		return
 	}
-	slog.Info("reloaded", "board", c.Board, "for-restart", n.config.Fixed(c))
-	n.Watch.Move(c.Board)
+	slog.Info("reloaded", "board", c.DiscoveryAddr, "for-restart", n.config.RestartKeys(c))
+	n.Watch.SetAddr(c.DiscoveryAddr)
 }
 
 // close has all fronts refuse what is new.
@@ -253,7 +253,7 @@
 	if n.Front == nil {
 		return []string{n.config.Listen}
 	}
-	return []string{n.config.Listen, n.config.Own.CH.Listen}
+	return []string{n.config.Listen, n.config.Local.ClickHouse.Listen}
 }
 
 // Leave calls stop once nothing new comes and all that was taken is answered and written. What would take longer than
@@ -263,20 +263,20 @@
 		return
 	}
 	n.leaving = true
-	slog.Info("leaving", "owed", n.Coordinator.Owed())
+	slog.Info("leaving", "owed", n.Coordinator.Unanswered())
 	longest := 0.0
-	for _, c := range n.config.Choice.Classes {
+	for _, c := range n.config.Scheduler.Classes {
 		longest = max(longest, c.ClientTimeout)
 	}
 	last := n.now() + min(longest, killMost) + killAfter - answerBefore
 	n.queue.Set(&deadline.Entry{Do: func() {
 		n.close()
-		n.Coordinator.Leave()
+		n.Coordinator.ShutDown()
 	}}, last)
 	e := &deadline.Entry{}
 	e.Do = func() {
 		n.close()
-		if n.Coordinator.Owed() == 0 && n.pending() == 0 && (n.out() == 0 || n.now() > last+cancelWithin) {
+		if n.Coordinator.Unanswered() == 0 && n.pending() == 0 && (n.out() == 0 || n.now() > last+cancelWithin) {
 			stop()
 			return
 		}
--- a/internal/node/order_test.go
+++ b/internal/node/order_test.go
@@ -421,7 +421,7 @@
 }
 
 func (e *engineStub) list(st choice.Status) {
-	e.s.n.Coordinator.List(false, []coordinator.Member{{Engine: choice.Engine{ID: e.id, Zone: "room-a", Kind: "std-12", Size: 1, Status: st}, Addr: e.addr}})
+	e.s.n.Coordinator.UpdateEngines(false, []coordinator.ListedEngine{{Engine: choice.Engine{ID: e.id, Zone: "room-a", Kind: "std-12", Size: 1, Status: st}, Addr: e.addr}})
 }
 
 // storm plays requests of a few keys against worker groups in trouble.
@@ -519,8 +519,8 @@
 				t.Errorf("seed %d: request %d waited till the end: its key is blocked", seed, i+1)
 			}
 		}
-		if s.n.Coordinator.Owed() != 0 || s.n.out() != 0 {
-			t.Errorf("seed %d: %d answers owed, %d attempts out at the end", seed, s.n.Coordinator.Owed(), s.n.out())
+		if s.n.Coordinator.Unanswered() != 0 || s.n.out() != 0 {
+			t.Errorf("seed %d: %d answers owed, %d attempts out at the end", seed, s.n.Coordinator.Unanswered(), s.n.out())
 		}
 	}
 	if total < 2000 { // of 6,000; waiting for all would keep every rule
--- a/internal/node/play_test.go
+++ b/internal/node/play_test.go
@@ -329,7 +329,7 @@
 				for _, m := range own {
 					text = append(append(text, m[1]...), '\n')
 				}
-				if c.Own, err = config.ParseOwn(text); err != nil {
+				if c.Local, err = config.ParseLocal(text); err != nil {
 					t.Fatal(err)
 				}
 			}
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -24,7 +24,7 @@
 			if readings++; readings < 4 {
 				return config.Config{}, fmt.Errorf("EDGE_CONFIG: %w", fault)
 			}
-			c.Board = "127.0.0.1:8600"
+			c.DiscoveryAddr = "127.0.0.1:8600"
 			return c, nil
 		})
 		p.advance(start + 1000)
--- a/internal/node/seats_test.go
+++ b/internal/node/seats_test.go
@@ -11,13 +11,13 @@
 // gives way, over either protocol, and never one that has an open request.
 func TestProtocolsShareSeats(t *testing.T) {
 	c := conftest.Example(t)
-	c.Own.CH.Listen = "127.0.0.1:8123"
+	c.Local.ClickHouse.Listen = "127.0.0.1:8123"
 	p := &player{t: t, now: start, queue: deadline.New(), clients: map[string]*side{}, keys: map[string][]byte{}}
 	n, err := New(c, p, p.queue, func() float64 { return p.now }, func() { p.woken = true })
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.n, n.seats.Most = n, 3
+	p.n, n.seats.MaxConnections = n, 3
 	step := func(lines ...string) {
 		for _, l := range lines {
 			p.play(l)
--- a/internal/pg/session.go
+++ b/internal/pg/session.go
@@ -54,10 +54,10 @@
 type Sessions struct {
 	Coordinator Coordinator
 	Deadlines   *deadline.Queue
-	Faults      *tally.Tally
+	Faults      *tally.FaultLog
 	Now         func() float64
 	Margin      float64 // ms by which an answer is due before the client's limit: the way back
-	Seats       *seats.Seats
+	Seats       *seats.Limiter
 	MostInput   int // bytes of a message, and of what waits behind an open query
 	Random      *rand.Rand
 	Leaving     bool // new queries are refused
@@ -87,7 +87,7 @@
 	pid     uint32
 	secret  uint32
 	req     *coordinator.Request
-	seat    *seats.Seat
+	seat    *seats.Slot
 	late    deadline.Entry // the end of the wait for a whole message
 	again   deadline.Entry // when messages are handled again
 }
@@ -111,26 +111,26 @@
 	a := s.all
 	s.c = c
 	ok := false
-	if s.seat, s.excess, ok = a.Seats.Take(s); !ok {
+	if s.seat, s.excess, ok = a.Seats.Acquire(s); !ok {
 		s.close()
 		return
 	}
 	a.Deadlines.Set(&s.late, a.Now()+firstWithin)
-	s.seat.Silent()
+	s.seat.MarkUnused()
 }
 
 // Quiet and Push are for the seat.
-func (s *Session) Quiet() bool { return s.c.Idle() }
+func (s *Session) InputEmpty() bool { return s.c.Idle() }
 
 // Push makes the session give way.
-func (s *Session) Push() { s.close() }
+func (s *Session) Evict() { s.close() }
 
 // Received takes bytes, however they are cut.
 func (s *Session) Received(b []byte) {
 	if s.closed {
 		return
 	}
-	s.seat.Busy()
+	s.seat.MarkBusy()
 	s.buf = append(s.buf, b...)
 	s.proceed()
 }
@@ -182,7 +182,7 @@
 	case len(s.buf) == 0:
 		s.buf = nil
 		if s.started && s.req == nil {
-			s.seat.Resting()
+			s.seat.MarkIdle()
 		}
 	case !whole && !s.late.Scheduled():
 		a.Deadlines.Set(&s.late, a.Now()+firstWithin)
@@ -376,7 +376,7 @@
 
 func (s *Session) gone() {
 	s.closed, s.buf = true, nil
-	s.seat.Leave()
+	s.seat.Release()
 	s.all.Deadlines.Cancel(&s.late)
 	s.all.Deadlines.Cancel(&s.again)
 	if s.started {
--- a/internal/pg/session_test.go
+++ b/internal/pg/session_test.go
@@ -23,7 +23,7 @@
 // A flood of good messages takes several turns: other clients come in between.
 func TestTurns(t *testing.T) {
 	now := func() float64 { return 0 }
-	a := &Sessions{Deadlines: deadline.New(), Faults: &tally.Tally{Now: now}, Now: now, Seats: &seats.Seats{}, MostInput: 1 << 16, Random: rand.New(rand.NewSource(1))}
+	a := &Sessions{Deadlines: deadline.New(), Faults: &tally.FaultLog{Now: now}, Now: now, Seats: &seats.Limiter{}, MostInput: 1 << 16, Random: rand.New(rand.NewSource(1))}
 	c, s := &sink{}, a.Accept()
 	s.Opened(c)
 	s.Received([]byte("\x00\x00\x00\x08\x00\x03\x00\x00"))
--- a/internal/rest/attempt.go
+++ b/internal/rest/attempt.go
@@ -66,10 +66,10 @@
 		}
 		// Danger: a query does not end when its time budget does. If its worker group is cut off, or accepts no further
 		// connection for the DELETE, the query runs on: the client is answered now, and the end is reported once proven.
-		a.fleet.Watcher.Overdue(a.ID)
+		a.fleet.Watcher.RequestOverdue(a.ID)
 		a.cancel(link.NoAnswer)
 	}
-	a.fleet.Deadlines.Set(&a.waitTimer, a.Until)
+	a.fleet.Deadlines.Set(&a.waitTimer, a.WaitUntil)
 	a.postCall = &call{build: a.buildPost, timeout: pollTimeout, done: a.postDone}
 	a.startKeepAliveCall(a.postCall)
 }
@@ -93,13 +93,13 @@
 	if a.tooLateToPost = a.Expired(a.fleet.Now()); a.tooLateToPost {
 		return nil
 	}
-	left := math.Floor(a.Until - a.fleet.Now())
+	left := math.Floor(a.WaitUntil - a.fleet.Now())
 	a.postedAt = a.fleet.Now()
 	a.runningAt = a.postedAt
 	logs.Trace("post", a.ID, "engine", a.Engine, "addr", a.group.Addr, "left", left, "waited", a.postedAt-a.startedAt)
 	headers := []string{"X-Hop-Id", a.ID, "X-Sort", a.Class, "X-Budget", strconv.Itoa(int(left))}
-	if a.Idem != "" {
-		headers = append(headers, "X-Replay-Key", a.Idem)
+	if a.IdempotencyKey != "" {
+		headers = append(headers, "X-Replay-Key", a.IdempotencyKey)
 	}
 	if a.Grant > 0 {
 		headers = append(headers, "Grant-Mb", strconv.Itoa(int(math.Ceil(a.Grant))))
@@ -223,13 +223,13 @@
 		}
 		a.poll()
 		if known {
-			a.fleet.Watcher.Noted(a.ID, a.Engine, a.Number, kind, r.level)
+			a.fleet.Watcher.NoticeReceived(a.ID, a.Engine, a.Number, kind, r.level)
 		}
 	case !a.endsAttempt(c, r) && (r.hasResult() || r.endsWithoutResult()):
 		// The answer may describe a time before the POST arrived, or a previous attempt.
 		a.pollAfter(retryPause)
 	case r.hasResult():
-		a.outcome.Took = a.fleet.Now() - a.startedAt // fetching further pages says nothing about the worker group's speed
+		a.outcome.Duration = a.fleet.Now() - a.startedAt // fetching further pages says nothing about the worker group's speed
 		a.outcome.Work, a.outcome.Mem = r.workMs, r.peakMB
 		a.outcome.Result = &result.Set{Pages: make([][]byte, r.pageCount)}
 		a.acceptPage(0, r)
@@ -428,9 +428,9 @@
 			c.abandon()
 		}
 	}
-	a.outcome.End = e
+	a.outcome.EndReason = e
 	if e != link.Served {
-		a.outcome.Took, a.outcome.Result = a.fleet.Now()-a.startedAt, nil
+		a.outcome.Duration, a.outcome.Result = a.fleet.Now()-a.startedAt, nil
 	}
-	a.fleet.Watcher.Ended(a.outcome)
+	a.fleet.Watcher.AttemptEnded(a.outcome)
 }
--- a/internal/rest/fleet.go
+++ b/internal/rest/fleet.go
@@ -42,8 +42,8 @@
 	Dialer          link.Dialer
 	Deadlines       *deadline.Queue
 	Now             func() float64
-	Watcher         coordinator.Watcher
-	Faults          *tally.Tally
+	Watcher         coordinator.AttemptListener
+	Faults          *tally.FaultLog
 	ConnectTimeout  float64
 	ConnIdleTimeout float64 // after which an idle connection is closed
 	MaxConns        int     // limit over all worker groups
@@ -61,7 +61,7 @@
 }
 
 // Know adds or updates a listed worker group. If it is not healthy, attempts that were not yet sent to it are ended.
-func (f *Fleet) Know(m coordinator.Member) {
+func (f *Fleet) Update(m coordinator.ListedEngine) {
 	if g, known := f.groups.Get(m.ID); known && m.Status != choice.Healthy {
 		g.finishUnsent()
 	}
@@ -70,7 +70,7 @@
 }
 
 // Only processes a complete list: worker groups that it does not name are removed.
-func (f *Fleet) Only(named map[string]bool) {
+func (f *Fleet) RemoveUnlisted(named map[string]bool) {
 	for _, g := range f.groups.All() {
 		if !named[g.ID] {
 			g.finishUnsent()
@@ -158,14 +158,14 @@
 	g, _ := f.groups.Get(engine)
 	sent := f.Now()
 	report := func(r *reply, e link.EndReason) {
-		outcome := coordinator.Outcome{Engine: engine, End: e, Took: f.Now() - sent}
+		outcome := coordinator.Outcome{Engine: engine, EndReason: e, Duration: f.Now() - sent}
 		if r != nil {
 			outcome.Report = r.report
 			if r.status != 200 {
-				outcome.End = link.Full
+				outcome.EndReason = link.Full
 			}
 		}
-		f.Watcher.Probed(outcome)
+		f.Watcher.ProbeEnded(outcome)
 	}
 	if g == nil || g.Addr == "" {
 		report(nil, link.Unreachable)
--- a/internal/rest/proof_test.go
+++ b/internal/rest/proof_test.go
@@ -40,10 +40,10 @@
 	ended, overdue map[string]int
 }
 
-func (w *countingWatcher) Ended(o coordinator.Outcome)                           { w.ended[o.Request]++ }
-func (w *countingWatcher) Overdue(id string)                                     { w.overdue[id]++ }
-func (w *countingWatcher) Noted(string, string, int, choice.NoticeKind, float64) {}
-func (w *countingWatcher) Probed(coordinator.Outcome)                            {}
+func (w *countingWatcher) AttemptEnded(o coordinator.Outcome)                             { w.ended[o.Request]++ }
+func (w *countingWatcher) RequestOverdue(id string)                                       { w.overdue[id]++ }
+func (w *countingWatcher) NoticeReceived(string, string, int, choice.NoticeKind, float64) {}
+func (w *countingWatcher) ProbeEnded(coordinator.Outcome)                                 {}
 
 // Guards against a leak: with worker groups that accept connections and never answer, silent connections are kept open and
 // attempts stay unproven. They must not exceed the connection limit, and in the end no attempt, connection, call or
@@ -52,10 +52,10 @@
 	now, network, watcher := 0.0, &silentNetwork{}, &countingWatcher{map[string]int{}, map[string]int{}}
 	queue := deadline.New()
 	fleet := &Fleet{Dialer: network, Deadlines: queue, Now: func() float64 { return now }, Watcher: watcher,
-		Faults:         &tally.Tally{Now: func() float64 { return now }},
+		Faults:         &tally.FaultLog{Now: func() float64 { return now }},
 		ConnectTimeout: 250, ConnIdleTimeout: 10000, MaxConns: 20}
 	for i := range 3 {
-		fleet.Know(coordinator.Member{Engine: choice.Engine{ID: fmt.Sprint("s", i)}, Addr: fmt.Sprint("127.0.0.1:410", i)})
+		fleet.Update(coordinator.ListedEngine{Engine: choice.Engine{ID: fmt.Sprint("s", i)}, Addr: fmt.Sprint("127.0.0.1:410", i)})
 	}
 	run := func(until float64) {
 		for {
@@ -81,7 +81,7 @@
 	const attempts = 200
 	for i := range attempts {
 		fleet.Send(coordinator.Attempt{Request: &coordinator.Request{Request: choice.Request{ID: fmt.Sprint("r", i)}},
-			Engine: fmt.Sprint("s", i%3), Until: now + 3000})
+			Engine: fmt.Sprint("s", i%3), WaitUntil: now + 3000})
 		run(now + 100)
 	}
 	run(now + 400e3)
--- a/internal/seats/seats.go
+++ b/internal/seats/seats.go
@@ -1,5 +1,5 @@
-// Package seats bounds the connections of clients, whatever protocol they speak: where there are no more descriptors for
-// newcomers, a connection that does no one any good now gives way.
+// Package seats limits the number of client connections over all protocols. At the limit, a connection that has no request
+// is closed to accept a new one.
 package seats
 
 import (
@@ -8,59 +8,59 @@
 	"thymeway/internal/tally"
 )
 
-// Holder is a client's connection.
-type Holder interface {
-	Quiet() bool // nothing has come that was not read yet
-	Push()       // close it: it gives way
+// Connection is a client connection.
+type Connection interface {
+	InputEmpty() bool // reports that the connection is open and all received data has been read
+	Evict()           // closes the connection in favor of another one
 }
 
-// mostExcess is how many connections beyond the bound stay until they are told so.
-const mostExcess = 4
+// maxExcess is how many connections beyond the limit are kept open for sending them an error.
+const maxExcess = 4
 
-// Seats are the places of all clients.
-type Seats struct {
-	Most   int // 0: no bound
-	Faults *tally.Tally
-	count  int
-	// Those that may be closed without harm, the longest unused first: connections that said nothing yet, and those
-	// that rest between two requests.
-	silent, resting list.List
+// Limiter holds the slots of all client connections.
+type Limiter struct {
+	MaxConnections int // 0: no limit
+	Faults         *tally.FaultLog
+	count          int
+	// Connections that may be closed without losing a request, longest unused first: unused ones have sent nothing yet,
+	// idle ones are between two requests.
+	unused, idle list.List
 }
 
-// Seat is one connection's place.
-type Seat struct {
-	all    *Seats
-	holder Holder
-	in     *list.List
-	at     *list.Element
-	left   bool
+// Slot is the slot of one connection.
+type Slot struct {
+	limiter  *Limiter
+	conn     Connection
+	list     *list.List // of the limiter, in which the slot is; nil: in none
+	element  *list.Element
+	released bool
 }
 
-// Count is how many seats are taken.
-func (a *Seats) Count() int { return a.count }
+// Count returns the number of slots in use.
+func (l *Limiter) Count() int { return l.count }
 
-// Take gives a new connection a seat. excess says that there is none for it: it may only be told so. ok false says that
-// there is not even room for that, and the connection has to be closed.
-func (a *Seats) Take(h Holder) (s *Seat, excess, ok bool) {
-	s = &Seat{all: a, holder: h}
-	a.count++
-	if a.Most <= 0 || a.count <= a.Most || a.push() {
+// Acquire gives a slot to a new connection. If excess is true, the connection is beyond the limit and may only be sent an
+// error. If ok is false, there is no room even for that, and the connection has to be closed.
+func (l *Limiter) Acquire(conn Connection) (s *Slot, excess, ok bool) {
+	s = &Slot{limiter: l, conn: conn}
+	l.count++
+	if l.MaxConnections <= 0 || l.count <= l.MaxConnections || l.evictOne() {
 		return s, false, true
 	}
-	if a.count > a.Most+mostExcess { // danger: with no descriptor left, nobody could connect or be served
-		a.Faults.Add("client-excess", "connections", a.count)
+	if l.count > l.MaxConnections+maxExcess { // danger: without free descriptors, no client could connect or be served
+		l.Faults.Add("client-excess", "connections", l.count)
 		return s, true, false
 	}
 	return s, true, true
 }
 
-// push closes a connection that does no one any good now, if there is one. Danger: one whose bytes have come and were
-// not read yet has asked for something.
-func (a *Seats) push() bool {
-	for _, l := range []*list.List{&a.silent, &a.resting} {
-		for e := l.Front(); e != nil; e = e.Next() {
-			if s := e.Value.(*Seat); s.holder.Quiet() {
-				s.holder.Push()
+// evictOne closes a connection without a request and reports whether there was one. Danger: a connection with received data
+// that has not been read yet may have sent a request, so it is kept.
+func (l *Limiter) evictOne() bool {
+	for _, candidates := range []*list.List{&l.unused, &l.idle} {
+		for e := candidates.Front(); e != nil; e = e.Next() {
+			if s := e.Value.(*Slot); s.conn.InputEmpty() {
+				s.conn.Evict()
 				return true
 			}
 		}
@@ -68,29 +68,30 @@
 	return false
 }
 
-func (s *Seat) wait(l *list.List) {
-	if s.in != nil {
-		s.in.Remove(s.at)
+// moveTo moves the slot to the end of another list, or to none.
+func (s *Slot) moveTo(to *list.List) {
+	if s.list != nil {
+		s.list.Remove(s.element)
 	}
-	if s.in = l; l != nil {
-		s.at = l.PushBack(s)
+	if s.list = to; to != nil {
+		s.element = to.PushBack(s)
 	}
 }
 
-// Silent says that the connection has said nothing yet.
-func (s *Seat) Silent() { s.wait(&s.all.silent) }
+// MarkUnused records that the connection has sent nothing yet.
+func (s *Slot) MarkUnused() { s.moveTo(&s.limiter.unused) }
 
-// Resting says that it stands between two requests.
-func (s *Seat) Resting() { s.wait(&s.all.resting) }
+// MarkIdle records that the connection is between two requests.
+func (s *Slot) MarkIdle() { s.moveTo(&s.limiter.idle) }
 
-// Busy says that it is in use.
-func (s *Seat) Busy() { s.wait(nil) }
+// MarkBusy records that the connection has a request and must not be evicted.
+func (s *Slot) MarkBusy() { s.moveTo(nil) }
 
-// Leave gives the seat up.
-func (s *Seat) Leave() {
-	if !s.left {
-		s.left = true
-		s.wait(nil)
-		s.all.count--
+// Release frees the slot. Further calls have no effect.
+func (s *Slot) Release() {
+	if !s.released {
+		s.released = true
+		s.moveTo(nil)
+		s.limiter.count--
 	}
 }
--- a/internal/starttime/starttime.go
+++ b/internal/starttime/starttime.go
@@ -1,62 +1,66 @@
-// Package starttime decides how long ago a worker group started. It does no input or output and reads no clock.
+// Package starttime estimates how long ago worker groups started. It does no input or output and reads no clock.
 package starttime
 
 import "math"
 
 const (
-	mostClockError = 2 * 3600e3 // ms by which this machine's clock is taken to be wrong at most
-	tolerance      = 0.1        // share of the time to warm up by which a start may be judged too early: cold budgets bear it
+	maxClockError = 2 * 3600e3 // ms by which the clock of this machine is assumed to be wrong at most
+	// earlyStartTolerance is the share of the warm-up time by which an estimated start may be too early. Budgets for cold
+	// worker groups leave room for it.
+	earlyStartTolerance = 0.1
 )
 
-// Judge turns the Unix times at which worker groups started into times of the program's own clock. Neither this
-// machine's clock nor the stamps alone can be trusted: a worker group taken for warm too early is overloaded, and one
-// taken for cold for long stays idle. So a start counts as no longer ago than both tell, but for a tolerance.
-type Judge struct {
-	WarmAfter float64 // ms in which a worker group warms up
-	newest    float64 // the latest stamp so far
-	newestAt  float64 // when it was told, by the program's clock
-	known     map[string]startTime
+// Estimator converts the Unix timestamps at which worker groups started to the program's clock. Neither the clock of this
+// machine nor the timestamps are reliable by themselves. A worker group that counts as warm too early is overloaded, and one
+// that counts as cold for too long stays idle. So the estimated age is the smaller one of the age by the latest timestamp,
+// plus a tolerance, and the age by this machine's clock. It is not less than the latter minus maxClockError.
+type Estimator struct {
+	WarmUpTime    float64              // ms that a worker group takes to warm up
+	latestStamp   float64              // latest Unix timestamp observed
+	latestStampAt float64              // time of observing it, by the program's clock
+	known         map[string]startTime // by worker group
 }
 
-// startTime is one worker group's: the stamp, and the time that was made of it. One stamp keeps its time.
+// startTime is the timestamp of a worker group's start and the estimate made of it. The estimate is kept as long as the
+// timestamp stays the same.
 type startTime struct{ stamp, local float64 }
 
-// Observe takes a stamp into what is known of the time at discovery.
-func (j *Judge) Observe(stamp, now float64) {
-	if stamp > 0 && (j.newest == 0 || stamp > j.newest+(now-j.newestAt)) {
-		j.newest, j.newestAt = stamp, now
+// Observe uses a timestamp to improve the estimate of the discovery service's clock.
+func (e *Estimator) Observe(stamp, now float64) {
+	if stamp > 0 && (e.latestStamp == 0 || stamp > e.latestStamp+(now-e.latestStampAt)) {
+		e.latestStamp, e.latestStampAt = stamp, now
 	}
 }
 
-// Local is a worker group's start by the program's clock, in ms; 0: long ago.
-func (j *Judge) Local(id string, stamp, now float64) float64 {
+// LocalStart returns the start time of a worker group by the program's clock, in ms; 0: long ago.
+func (e *Estimator) LocalStart(id string, stamp, now float64) float64 {
 	if stamp <= 0 {
-		delete(j.known, id)
+		delete(e.known, id)
 		return 0
 	}
-	if k, ok := j.known[id]; ok && k.stamp == stamp {
-		return k.local
+	if start, ok := e.known[id]; ok && start.stamp == stamp {
+		return start.local
 	}
-	j.Observe(stamp, now)
-	byStamps := j.newest + (now - j.newestAt) - stamp + tolerance*j.WarmAfter
+	e.Observe(stamp, now)
+	byStamps := e.latestStamp + (now - e.latestStampAt) - stamp + earlyStartTolerance*e.WarmUpTime
 	byClock := now - stamp
-	age := math.Max(math.Min(byStamps, byClock), byClock-mostClockError)
-	t := startTime{stamp, now - math.Max(age, 0)}
-	if j.known == nil {
-		j.known = map[string]startTime{}
+	age := math.Max(math.Min(byStamps, byClock), byClock-maxClockError)
+	start := startTime{stamp, now - math.Max(age, 0)}
+	if e.known == nil {
+		e.known = map[string]startTime{}
 	}
-	j.known[id] = t
-	return t.local
+	e.known[id] = start
+	return start.local
 }
 
-// Forget drops a worker group that has gone.
-func (j *Judge) Forget(id string) { delete(j.known, id) }
+// Remove removes a worker group.
+func (e *Estimator) Remove(id string) { delete(e.known, id) }
 
-// Only drops all but those named.
-func (j *Judge) Only(named map[string]bool) {
-	for id := range j.known {
-		if !named[id] {
-			delete(j.known, id)
+// RemoveUnlisted removes all worker groups that are not in listed.
+func (e *Estimator) RemoveUnlisted(listed map[string]bool) {
+	for id := range e.known {
+		if !listed[id] {
+			delete(e.known, id)
 		}
 	}
 }
--- a/internal/surge/pressure.go
+++ b/internal/surge/pressure.go
@@ -2,152 +2,157 @@
 
 import "math"
 
-// State is how a coordinator stands.
+// State is the state of retry storm detection.
 type State uint8
 
 // The states.
 const (
 	Calm       State = iota
-	Storm            // repeats take the place of first tries, and much of what is done is in vain
-	Recovering       // the fleet gives again, and those turned away come back
+	Storm            // many requests are repeats, and many end without a timely result
+	Recovering       // requests are served again, while clients that were refused still repeat theirs
 )
 
 var stateNames = [...]string{"calm", "storm", "recovering"}
 
 func (s State) String() string { return stateNames[s] }
 
-// Thresholds. All are shares, so that they hold at any size; the chance of few requests is kept out by leastSeen.
+// Thresholds. All are ratios, so that they apply at any request rate. minSamples excludes ratios of too few requests.
 const (
-	fastSpan   = 1000.0  // ms over which the present is measured
-	slowSpan   = 30000.0 // ms over which the usual is
-	leastSeen  = 8.0     // arrivals in the fast span from which a share says anything
-	stormFrom  = 0.25    // share of repeats among arrivals, and ...
-	vainFrom   = 0.25    // ... share of endings that are in vain, from which it is a storm
-	stormFor   = 500.0   // ms for which both must hold
-	recoverAt  = 0.5     // of the usual service, from which a storm is ending
-	vainUnder  = 0.15    // share in vain under which it is
-	calmUnder  = 0.10    // share of repeats under which, ...
-	calmFor    = 3000.0  // ... for so long, all is calm again
-	stormAgain = 0.4     // share in vain from which one that was ending is back
+	shortWindow           = 1000.0  // ms of the decaying average for present rates
+	longWindow            = 30000.0 // ms of the decaying average for the baseline
+	minSamples            = 8.0     // requests in the short window below which shares count as 0
+	stormRepeatShare      = 0.25    // minimum share of repeats among arrivals in a storm
+	stormFailureShare     = 0.25    // minimum share of failures among endings in a storm
+	stormConfirmTime      = 500.0   // ms for which the conditions of Storm or Recovering must hold
+	recoveryGoodputRatio  = 0.5     // minimum goodput, relative to the baseline, at which a storm is ending
+	recoveredFailureShare = 0.15    // maximum share of failures at which a storm is ending or over
+	calmRepeatShare       = 0.10    // maximum share of repeats at which a storm is over
+	calmConfirmTime       = 3000.0  // ms for which the conditions of Calm must hold
+	relapseFailureShare   = 0.4     // minimum share of failures at which Recovering turns back into Storm
 )
 
-// rate is a fading count.
-type rate struct{ v, at float64 }
+// decayingCount is a count that decays exponentially with time.
+type decayingCount struct{ value, updatedAt float64 }
 
-func (r *rate) add(now, span, n float64) {
-	r.v, r.at = r.get(now, span)+n, now
+func (c *decayingCount) add(now, window, amount float64) {
+	c.value, c.updatedAt = c.get(now, window)+amount, now
 }
 
-func (r *rate) get(now, span float64) float64 { return r.v * math.Exp((r.at-now)/span) }
+func (c *decayingCount) get(now, window float64) float64 {
+	return c.value * math.Exp((c.updatedAt-now)/window)
+}
 
-// Pressure follows one flow of requests: a member's, or all.
-type Pressure struct {
-	arrivals, repeats, served, vain rate // over the fast span
-	usual                           rate // served, over the slow span, in calm times only
-	state                           State
-	since                           float64 // of the state
-	signs                           float64 // since when its signs to change hold; 0: they don't
+// Detector detects retry storms in one stream of requests: those of a tenant, or all. A success is a request served within
+// its latency target; any other ending is a failure.
+type Detector struct {
+	arrivals, repeats, successes, failures decayingCount // over the short window
+	baseline                               decayingCount // successes over the long window, counted only in state Calm
+	state                                  State
+	stateSince                             float64 // time of the last change of state
+	conditionSince                         float64 // time since which the conditions for another state hold; 0: they do not
 }
 
-// Arrived counts a request, a repeat or a first try.
-func (p *Pressure) Arrived(now float64, repeat bool) {
-	p.arrivals.add(now, fastSpan, 1)
+// Arrived counts the arrival of a request, either a repeat or a first try.
+func (d *Detector) Arrived(now float64, repeat bool) {
+	d.arrivals.add(now, shortWindow, 1)
 	if repeat {
-		p.repeats.add(now, fastSpan, 1)
+		d.repeats.add(now, shortWindow, 1)
 	}
-	p.step(now)
+	d.updateState(now)
 }
 
-// Ended counts an ending: a good answer in time, or one in vain, as refused, failed or too late.
-func (p *Pressure) Ended(now float64, good bool) {
-	if good {
-		p.served.add(now, fastSpan, 1)
-		if p.state == Calm {
-			p.usual.add(now, slowSpan, 1)
+// Ended counts the end of a request: a success, or a failure such as a refusal, an error or a late result.
+func (d *Detector) Ended(now float64, success bool) {
+	if success {
+		d.successes.add(now, shortWindow, 1)
+		if d.state == Calm {
+			d.baseline.add(now, longWindow, 1)
 		}
 	} else {
-		p.vain.add(now, fastSpan, 1)
+		d.failures.add(now, shortWindow, 1)
 	}
-	p.step(now)
+	d.updateState(now)
 }
 
-// RepeatShare is the share of repeats among what comes now; 0 while too little does.
-func (p *Pressure) RepeatShare(now float64) float64 {
-	a := p.arrivals.get(now, fastSpan)
-	if a < leastSeen {
+// RepeatShare returns the present share of repeats among arrivals; 0 for too few arrivals.
+func (d *Detector) RepeatShare(now float64) float64 {
+	arrivals := d.arrivals.get(now, shortWindow)
+	if arrivals < minSamples {
 		return 0
 	}
-	return math.Min(p.repeats.get(now, fastSpan)/a, 1)
+	return math.Min(d.repeats.get(now, shortWindow)/arrivals, 1)
 }
 
-// VainShare is the share of endings in vain; 0 while there are too few.
-func (p *Pressure) VainShare(now float64) float64 {
-	v, s := p.vain.get(now, fastSpan), p.served.get(now, fastSpan)
-	if v+s < leastSeen {
+// FailureShare returns the present share of failures among endings; 0 for too few endings.
+func (d *Detector) FailureShare(now float64) float64 {
+	failures, successes := d.failures.get(now, shortWindow), d.successes.get(now, shortWindow)
+	if failures+successes < minSamples {
 		return 0
 	}
-	return v / (v + s)
+	return failures / (failures + successes)
 }
 
-// Served is the rate of good answers now, a ms.
-func (p *Pressure) Served(now float64) float64 { return p.served.get(now, fastSpan) / fastSpan }
+// Goodput returns the present rate of successes per ms.
+func (d *Detector) Goodput(now float64) float64 {
+	return d.successes.get(now, shortWindow) / shortWindow
+}
 
-// Usual is the rate of good answers in calm times, a ms.
-func (p *Pressure) Usual(now float64) float64 {
-	if p.state != Calm { // it stands still while it is not learned
-		return p.usual.v / slowSpan
+// BaselineGoodput returns the rate of successes per ms in state Calm.
+func (d *Detector) BaselineGoodput(now float64) float64 {
+	if d.state != Calm { // it does not decay while successes are not added
+		return d.baseline.value / longWindow
 	}
-	return p.usual.get(now, slowSpan) / slowSpan
+	return d.baseline.get(now, longWindow) / longWindow
 }
 
-// Service is the present rate of good answers against the usual one; 1 while nothing usual is known.
-func (p *Pressure) Service(now float64) float64 {
-	usual := p.Usual(now)
-	if usual*fastSpan < 1 {
+// GoodputRatio returns the present goodput relative to the baseline; 1 while the baseline is not known.
+func (d *Detector) GoodputRatio(now float64) float64 {
+	baseline := d.BaselineGoodput(now)
+	if baseline*shortWindow < 1 {
 		return 1
 	}
-	return p.Served(now) / usual
+	return d.Goodput(now) / baseline
 }
 
-// State is the present state, and since when.
-func (p *Pressure) State(now float64) (State, float64) {
-	p.step(now)
-	return p.state, p.since
+// State returns the present state and the time of its last change.
+func (d *Detector) State(now float64) (State, float64) {
+	d.updateState(now)
+	return d.state, d.stateSince
 }
 
-// step changes the state where its signs have held for long enough.
-func (p *Pressure) step(now float64) {
-	next, hold := p.state, 0.0
-	repeats, vain := p.RepeatShare(now), p.VainShare(now)
-	switch p.state {
+// updateState changes the state once the conditions for another one have held for long enough.
+func (d *Detector) updateState(now float64) {
+	next, confirmTime := d.state, 0.0
+	repeatShare, failureShare := d.RepeatShare(now), d.FailureShare(now)
+	switch d.state {
 	case Calm:
-		if repeats >= stormFrom && vain >= vainFrom {
-			next, hold = Storm, stormFor
+		if repeatShare >= stormRepeatShare && failureShare >= stormFailureShare {
+			next, confirmTime = Storm, stormConfirmTime
 		}
 	case Storm:
 		switch {
-		case vain < vainUnder && p.Service(now) >= recoverAt:
-			next, hold = Recovering, stormFor
-		case repeats < calmUnder && vain < vainUnder: // all have gone
-			next, hold = Calm, calmFor
+		case failureShare < recoveredFailureShare && d.GoodputRatio(now) >= recoveryGoodputRatio:
+			next, confirmTime = Recovering, stormConfirmTime
+		case repeatShare < calmRepeatShare && failureShare < recoveredFailureShare: // clients have given up: no repeats are left
+			next, confirmTime = Calm, calmConfirmTime
 		}
 	case Recovering:
 		switch {
-		case vain >= stormAgain:
-			next, hold = Storm, stormFor
-		case repeats < calmUnder && vain < vainUnder:
-			next, hold = Calm, calmFor
+		case failureShare >= relapseFailureShare:
+			next, confirmTime = Storm, stormConfirmTime
+		case repeatShare < calmRepeatShare && failureShare < recoveredFailureShare:
+			next, confirmTime = Calm, calmConfirmTime
 		}
 	}
 	switch {
-	case next == p.state:
-		p.signs = 0
-	case p.signs == 0:
-		p.signs = now
-	case now-p.signs >= hold:
-		p.state, p.since, p.signs = next, now, 0
+	case next == d.state:
+		d.conditionSince = 0
+	case d.conditionSince == 0:
+		d.conditionSince = now
+	case now-d.conditionSince >= confirmTime:
+		d.state, d.stateSince, d.conditionSince = next, now, 0
 		if next == Calm {
-			p.usual.at = now // what was usual before the storm still is
+			d.baseline.updatedAt = now // the baseline from before the storm is kept, without decay for its duration
 		}
 	}
 }
--- a/internal/surge/repeats.go
+++ b/internal/surge/repeats.go
@@ -1,78 +1,81 @@
-// Package surge knows what a coordinator sees of pressure over time: who comes again, how much of what comes is a
-// repeat, how much of what is done is in vain, and whether that is a storm. It does no input or output and reads no clock;
-// times are ms. It tells and decides nothing.
+// Package surge detects retry storms. It recognizes repeats of refused requests, and measures the share of repeats and the
+// share of requests that end without a timely result. It does no input or output and reads no clock; times are in ms. Its
+// results are only reported: no decision depends on them.
 package surge
 
-// Repeats tells requests that come again after a refusal though nobody marked them: those of the same key soon after it.
-// It is a counting sketch in fixed memory, two generations by turns, so that what is old is forgotten as a whole. It may
-// take a first try for a repeat, at a rate that the tests state; it never misses a repeat within its span, unless another
-// request used up its mark.
-type Repeats struct {
-	span  float64
-	turn  float64 // when the present generation began
-	young *generation
-	old   *generation
+// RepeatSketch recognizes unmarked repeats of refused requests: requests with the same key that arrive soon after a refusal.
+// It is a counting sketch of fixed size with two generations that alternate, so that old refusals are dropped together. It
+// may take a first try for a repeat; the tests state how often. It never misses a repeat within its window, unless another
+// request has used up the count.
+type RepeatSketch struct {
+	window    float64 // ms covered by one generation
+	rotatedAt float64 // time at which the current generation began
+	current   *generation
+	previous  *generation
 }
 
 const (
 	sketchRows = 4
 	sketchCols = 2048
-	mostMarks  = 255
-	// mostTries is how often a client comes back by itself after a refusal.
-	mostTries = 2
+	maxCount   = 255 // largest value of a counter
+	// repeatsPerRefusal is how often a client library repeats a refused request by itself.
+	repeatsPerRefusal = 2
 )
 
+// generation holds the counters for the refusals of one window.
 type generation [sketchRows][sketchCols]uint8
 
-// NewRepeats returns a sketch that remembers refusals for between one and two spans, in 16 KB.
-func NewRepeats(span float64) *Repeats {
-	return &Repeats{span: span, young: &generation{}, old: &generation{}}
+// NewRepeatSketch returns a sketch of 16 KB that remembers a refusal for one to two windows.
+func NewRepeatSketch(window float64) *RepeatSketch {
+	return &RepeatSketch{window: window, current: &generation{}, previous: &generation{}}
 }
 
-// cell mixes a hash into a column of a row.
-func cell(h uint64, row int) int {
-	h = (h ^ uint64(row+1)*0x9e3779b97f4a7c15) * 0xbf58476d1ce4e5b9
-	h ^= h >> 29
-	return int(h*0x94d049bb133111eb>>40) % sketchCols
+// column returns the column of a hash in a row.
+func column(hash uint64, row int) int {
+	hash = (hash ^ uint64(row+1)*0x9e3779b97f4a7c15) * 0xbf58476d1ce4e5b9
+	hash ^= hash >> 29
+	return int(hash*0x94d049bb133111eb>>40) % sketchCols
 }
 
-func (r *Repeats) rotate(now float64) {
+// rotate starts a new generation once the current one covers a whole window.
+func (r *RepeatSketch) rotate(now float64) {
 	switch {
-	case now-r.turn >= 2*r.span:
-		*r.young, *r.old, r.turn = generation{}, generation{}, now
-	case now-r.turn >= r.span:
-		r.young, r.old = r.old, r.young
-		*r.young = generation{}
-		r.turn += r.span
+	case now-r.rotatedAt >= 2*r.window:
+		*r.current, *r.previous, r.rotatedAt = generation{}, generation{}, now
+	case now-r.rotatedAt >= r.window:
+		r.current, r.previous = r.previous, r.current
+		*r.current = generation{}
+		r.rotatedAt += r.window
 	}
 }
 
-// Refused notes that the request of a key was turned away: it may come back a few times.
-func (r *Repeats) Refused(h uint64, now float64) {
+// AddRefusal records that a request with the given key was refused, so that it may be repeated a few times.
+func (r *RepeatSketch) AddRefusal(hash uint64, now float64) {
 	r.rotate(now)
-	for row := range r.young { // all of them grow: marks are taken away again, which a thriftier update would not bear
-		c := &r.young[row][cell(h, row)]
-		*c += min(mostTries, mostMarks-*c)
+	for row := range r.current { // raises all rows: with a conservative update, counts could not be subtracted again
+		count := &r.current[row][column(hash, row)]
+		*count += min(repeatsPerRefusal, maxCount-*count)
 	}
 }
 
-func (g *generation) least(h uint64) uint8 {
-	least := uint8(mostMarks)
+// minCount returns the lowest counter of a key, which is an upper bound of its count.
+func (g *generation) minCount(hash uint64) uint8 {
+	lowest := uint8(maxCount)
 	for row := range g {
-		least = min(least, g[row][cell(h, row)])
+		lowest = min(lowest, g[row][column(hash, row)])
 	}
-	return least
+	return lowest
 }
 
-// Arrived tells whether a request of a key is likely a repeat, and uses up one mark if so.
-func (r *Repeats) Arrived(h uint64, now float64) bool {
+// MatchArrival reports whether a request with the given key is probably a repeat. If so, it subtracts one from the count.
+func (r *RepeatSketch) MatchArrival(hash uint64, now float64) bool {
 	r.rotate(now)
-	for _, g := range []*generation{r.young, r.old} {
-		if g.least(h) == 0 {
+	for _, g := range []*generation{r.current, r.previous} {
+		if g.minCount(hash) == 0 {
 			continue
 		}
 		for row := range g {
-			g[row][cell(h, row)]--
+			g[row][column(hash, row)]--
 		}
 		return true
 	}
--- a/internal/tally/tally.go
+++ b/internal/tally/tally.go
@@ -1,36 +1,37 @@
-// Package tally counts faults that repeat and logs each kind now and then, so that a flood of them does not become
-// a flood of lines.
+// Package tally logs faults at a limited rate, so that a flood of faults does not flood the log.
 package tally
 
 import "log/slog"
 
-const every = 10000.0 // ms between two lines of a kind
+const logInterval = 10000.0 // ms between two lines for the same kind of fault
 
-// Tally is all kinds of faults. Kinds are few and named in the program, never taken from what came.
-type Tally struct {
-	Now  func() float64
-	seen map[string]*kind
+// FaultLog counts faults by kind and logs each kind at most once per interval. Kinds are constants in the program, never
+// received text, so their number is bounded.
+type FaultLog struct {
+	Now   func() float64
+	kinds map[string]*faultKind
 }
 
-type kind struct {
-	n  int
-	at float64
+// faultKind counts the faults of one kind.
+type faultKind struct {
+	count    int // since the last line
+	loggedAt float64
 }
 
-// Add counts a fault. The line tells how many came since the last one of its kind, and the latest of them; args are
-// keys and values, as slog takes them.
-func (t *Tally) Add(name string, args ...any) {
-	if t.seen == nil {
-		t.seen = map[string]*kind{}
+// Add counts a fault, and logs it unless its kind was logged within the interval. The line holds the number of faults of
+// this kind since the last line, and args of the latest fault: keys and values as for slog.
+func (l *FaultLog) Add(name string, args ...any) {
+	if l.kinds == nil {
+		l.kinds = map[string]*faultKind{}
 	}
-	k := t.seen[name]
+	k := l.kinds[name]
 	if k == nil {
-		k = &kind{at: t.Now() - every}
-		t.seen[name] = k
+		k = &faultKind{loggedAt: l.Now() - logInterval}
+		l.kinds[name] = k
 	}
-	if k.n++; t.Now()-k.at < every {
+	if k.count++; l.Now()-k.loggedAt < logInterval {
 		return
 	}
-	slog.Warn(name, append([]any{"n", k.n}, args...)...)
-	k.n, k.at = 0, t.Now()
+	slog.Warn(name, append([]any{"n", k.count}, args...)...)
+	k.count, k.loggedAt = 0, l.Now()
 }
