--- a/cmd/thymectl/shapes.go
+++ b/cmd/thymectl/shapes.go
@@ -76,7 +76,7 @@
 
 // Run is the command.
 func (explain) Run(s streams) error {
-	book := shape.NewBook(shape.Options{Bytes: 8 << 20})
+	book := shape.NewCatalog(shape.Options{MaxBytes: 8 << 20})
 	w := bufio.NewWriter(s.out)
 	e := json.NewEncoder(w)
 	e.SetEscapeHTML(false)
@@ -85,7 +85,7 @@
 		if fault != "" {
 			return e.Encode(explained{shape.Unknown.String(), []string{}, []string{}, "", "default", fault})
 		}
-		return e.Encode(explanation(book.Look(*x.Text, d, 0)))
+		return e.Encode(explanation(book.Recognise(*x.Text, d, 0)))
 	})
 	if err != nil {
 		return err
@@ -96,7 +96,7 @@
 func explanation(s *shape.Shape) explained {
 	x := explained{Kind: s.Kind.String(), Reads: append([]string{}, s.Reads...), Writes: append([]string{}, s.Writes...), Shape: s.Name(),
 		Verdict: "known", Reason: "recognised"}
-	if d := shape.Judge(shape.Any, &s.Info); d != shape.Sure {
+	if d := shape.CheckRole(shape.AnyRole, &s.Info); d != shape.NoReason {
 		x.Verdict, x.Reason = "default", d.String()
 	}
 	return x
@@ -113,7 +113,7 @@
 	s     *shape.Shape
 	n     int
 	work  float64
-	price shape.Price
+	price shape.Cost
 	text  string
 }
 
@@ -124,9 +124,9 @@
 		return err
 	}
 	defer f.Close()
-	book := shape.NewBook(shape.Options{Bytes: r.MemoryKB << 10})
+	book := shape.NewCatalog(shape.Options{MaxBytes: r.MemoryKB << 10})
 	owners, seen, bad := map[string]int{}, map[uint64]*tally{}, 0
-	doubts := map[shape.Doubt]int{}
+	doubts := map[shape.Reason]int{}
 	var took time.Duration
 	err = lines(f, func(line []byte) error {
 		x, d, fault := parse(line)
@@ -140,10 +140,10 @@
 			owners[x.Tenant] = owner
 		}
 		from := time.Now()
-		sh := book.Look(*x.Text, d, owner)
+		sh := book.Recognise(*x.Text, d, owner)
 		took += time.Since(from)
-		if sh.Doubt != shape.Sure {
-			doubts[sh.Doubt]++
+		if sh.Reason != shape.NoReason {
+			doubts[sh.Reason]++
 		}
 		t := seen[sh.ID]
 		if t == nil {
@@ -163,22 +163,22 @@
 		return err
 	}
 	st := book.Stats()
-	if st.Looks == 0 {
+	if st.Lookups == 0 {
 		return fmt.Errorf("%s: no statement in it, %d bad lines", r.File, bad)
 	}
 	w := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
 	row := func(name, format string, args ...any) { fmt.Fprintf(w, "%s\t%s\n", name, fmt.Sprintf(format, args...)) }
-	row("statements", "%d", st.Looks)
+	row("statements", "%d", st.Lookups)
 	row("bad lines", "%d", bad)
 	row("shapes", "%d, of which %d are remembered in %d KB", len(seen), st.Shapes, st.Bytes>>10)
-	row("hit rate", "%.4f", float64(st.Hits)/float64(st.Looks))
+	row("hit rate", "%.4f", float64(st.Hits)/float64(st.Lookups))
 	row("evictions", "%d", st.Evicted)
 	row("too long to remember", "%d", st.Uncached)
-	row("ns a statement", "%.0f", float64(took.Nanoseconds())/float64(st.Looks))
-	if st.OwnOff > 0 {
-		row("estimates off by", "told x%.2f, learned x%.2f (medians)", st.ToldOff, st.OwnOff)
+	row("ns a statement", "%.0f", float64(took.Nanoseconds())/float64(st.Lookups))
+	if st.LearnedEstimateError > 0 {
+		row("estimates off by", "told x%.2f, learned x%.2f (medians)", st.RequestEstimateError, st.LearnedEstimateError)
 	}
-	for d := shape.Sure; d < shape.Doubts; d++ {
+	for d := shape.NoReason; d < shape.NumReasons; d++ {
 		if doubts[d] > 0 {
 			row("doubted: "+d.String(), "%d", doubts[d])
 		}
@@ -237,7 +237,7 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.File, err)
 	}
-	book := shape.NewBook(shape.Options{Bytes: most})
+	book := shape.NewCatalog(shape.Options{MaxBytes: most})
 	n, err := book.Load(payload)
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.File, err)
@@ -246,8 +246,8 @@
 	fmt.Fprintf(w, "shapes\t%d\n\n", n)
 	var all []*tally
 	book.Each(func(x *shape.Shape) {
-		p := &x.Price
-		all = append(all, &tally{s: x, n: int(p.Work.N()), work: p.Work.N() * p.Work.Mean(), price: *p, text: x.Text()})
+		p := &x.Cost
+		all = append(all, &tally{s: x, n: int(p.Work.Count()), work: p.Work.Count() * p.Work.Mean(), price: *p, text: x.Text()})
 	})
 	dearest(w, all, c.Most)
 	return w.Flush()
--- a/cmd/thymectl/shapes_test.go
+++ b/cmd/thymectl/shapes_test.go
@@ -85,8 +85,8 @@
 
 // A snapshot is shown; one that can't be believed is refused with its reason.
 func TestShow(t *testing.T) {
-	b := shape.NewBook(shape.Options{Bytes: 1 << 20})
-	b.Learn(b.Look("SELECT a FROM sales_3.t WHERE b = 5", shape.Postgres, 0), 0, 70, 5)
+	b := shape.NewCatalog(shape.Options{MaxBytes: 1 << 20})
+	b.Learn(b.Recognise("SELECT a FROM sales_3.t WHERE b = 5", shape.Postgres, 0), 0, 70, 5)
 	d := b.Dump()
 	d.Step(10)
 	file := filepath.Join(t.TempDir(), "s")
--- a/internal/chhttp/format_test.go
+++ b/internal/chhttp/format_test.go
@@ -139,11 +139,11 @@
 
 // Whatever a parameter's value holds, it stands in the text as one literal, and the text keeps its shape.
 func TestParametersStayLiterals(t *testing.T) {
-	book := shape.NewBook(shape.Options{Bytes: 1 << 20})
-	want := book.Look("SELECT a FROM sales_3.t WHERE b = 'x' AND c = 1", shape.ClickHouse, 0).ID
+	book := shape.NewCatalog(shape.Options{MaxBytes: 1 << 20})
+	want := book.Recognise("SELECT a FROM sales_3.t WHERE b = 'x' AND c = 1", shape.ClickHouse, 0).ID
 	rapid.Check(t, func(t *rapid.T) {
 		value := string(rapid.SliceOfN(rapid.SampledFrom([]byte(`a'"\;-/*#()`+"`\n")), 0, 12).Draw(t, "value"))
-		text, err := shape.Parameters("SELECT a FROM sales_3.t WHERE b = {v:String} AND c = {n:UInt8}", func(name, typ string) (string, error) {
+		text, err := shape.SubstituteParameters("SELECT a FROM sales_3.t WHERE b = {v:String} AND c = {n:UInt8}", func(name, typ string) (string, error) {
 			if name == "n" {
 				return rendered(name, "5", typ)
 			}
@@ -152,7 +152,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if s := book.Look(text, shape.ClickHouse, 0); s.ID != want {
+		if s := book.Recognise(text, shape.ClickHouse, 0); s.ID != want {
 			t.Fatalf("%q makes %q of shape %s", value, text, s.Text())
 		}
 	})
@@ -227,8 +227,8 @@
 		"SELECT (SELECT 1 FORMAT JSON)": "", "INSERT INTO t FORMAT CSV 1,2": "", "SELECT format('a', 1)": "", "SELECT 1 FORMAT JSON;": "JSON",
 		"SELECT a AS format FROM t": "",
 	} {
-		got, at, ok := shape.FormatClause(text)
-		if ok != (want != "") || ok && (got != want || !strings.HasPrefix(strings.ToUpper(text[at.From:at.To]), "FORMAT ")) {
+		got, at, ok := shape.FindFormatClause(text)
+		if ok != (want != "") || ok && (got != want || !strings.HasPrefix(strings.ToUpper(text[at.Start:at.End]), "FORMAT ")) {
 			t.Errorf("%s: %q %v %v", text, got, at, ok)
 		}
 	}
--- a/internal/chhttp/front_test.go
+++ b/internal/chhttp/front_test.go
@@ -31,14 +31,14 @@
 
 // taker takes requests and keeps them open.
 type taker struct {
-	book *shape.Book
+	book *shape.Catalog
 	open map[string]*coordinator.Request
 }
 
 func (t *taker) Check(*coordinator.Request) error { return nil }
 func (t *taker) Recognise(r *coordinator.Request) {
 	if r.Shape == nil {
-		r.Shape = t.book.Look(r.Statement, r.Dialect, 0)
+		r.Shape = t.book.Recognise(r.Statement, r.Dialect, 0)
 	}
 }
 func (t *taker) Take(r *coordinator.Request) { t.open[r.ID] = r }
@@ -48,7 +48,7 @@
 	c := conftest.Example(t)
 	now := 0.0
 	clock := func() float64 { return now }
-	k := &taker{shape.NewBook(shape.Options{Bytes: 1 << 16}), map[string]*coordinator.Request{}}
+	k := &taker{shape.NewCatalog(shape.Options{MaxBytes: 1 << 16}), map[string]*coordinator.Request{}}
 	faults := &tally.FaultLog{Now: clock}
 	f := &Front{Coordinator: k, Deadlines: deadline.New(), Faults: faults, Now: clock, Margin: 25, Seats: &seats.Limiter{MaxConnections: 8, Faults: faults},
 		Random: rand.New(rand.NewSource(1)), Config: c}
--- a/internal/chhttp/request.go
+++ b/internal/chhttp/request.go
@@ -262,9 +262,9 @@
 		return except(codeAuth, "user %.60s does not belong to %.60s", q.user, r.Tenant)
 	}
 	q.format = first(v["default_format"], first(h.Get("x-clickhouse-format"), "TabSeparated"))
-	if name, at, ok := shape.FormatClause(text); ok {
+	if name, at, ok := shape.FindFormatClause(text); ok {
 		q.format = name
-		text = strings.TrimRight(text[:at.From], " \t\r\n") + text[at.To:]
+		text = strings.TrimRight(text[:at.Start], " \t\r\n") + text[at.End:]
 	}
 	if _, ok := formats[q.format]; !ok {
 		return except(codeUnknownFormat, "Unknown format %.60s", q.format)
@@ -279,7 +279,7 @@
 			ch.Settings = append(ch.Settings, [2]string{name, v[name]})
 		}
 	}
-	whole, err := shape.Parameters(text, func(name, typ string) (string, error) {
+	whole, err := shape.SubstituteParameters(text, func(name, typ string) (string, error) {
 		value, ok := params[name]
 		if !ok {
 			return "", except(codeBadParameter, "Query parameter `%.60s` was not set", name)
--- a/internal/classify/classify.go
+++ b/internal/classify/classify.go
@@ -23,12 +23,12 @@
 		switch {
 		case k.Name != class:
 		case k.IsLoad:
-			return shape.Writes
+			return shape.WriteRole
 		case k.Idempotency == choice.Idempotent:
-			return shape.Reads
+			return shape.ReadRole
 		}
 	}
-	return shape.Any
+	return shape.AnyRole
 }
 
 // ClassOf returns the class of a statement that is sent without one. ok is false if no class fits. Danger: a statement of
--- a/internal/classify/classify_test.go
+++ b/internal/classify/classify_test.go
@@ -12,9 +12,9 @@
 	{Name: "load", ClientTimeout: 20000, Idempotency: choice.Deduplicated, IsLoad: true}}
 
 func TestRoles(t *testing.T) {
-	r := Rules{Classes: classes, Roles: map[string]shape.Role{"report": shape.Any}}
-	for class, want := range map[string]shape.Role{"lookup": shape.Reads, "report": shape.Any, "load": shape.Writes,
-		"audit": shape.Any, "other": shape.Any} {
+	r := Rules{Classes: classes, Roles: map[string]shape.Role{"report": shape.AnyRole}}
+	for class, want := range map[string]shape.Role{"lookup": shape.ReadRole, "report": shape.AnyRole, "load": shape.WriteRole,
+		"audit": shape.AnyRole, "other": shape.AnyRole} {
 		if got := r.Role(class); got != want {
 			t.Errorf("%s: role %v, want %v", class, got, want)
 		}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -107,7 +107,7 @@
 	if c.Local, err = ParseLocal([]byte("[class report]\nrole = any\n[clickhouse]\nread_class = report\n")); err != nil {
 		t.Fatal(err)
 	}
-	if r := c.ClassRules(); r.Role("report") != shape.Any || r.Role("load") != shape.Writes {
+	if r := c.ClassRules(); r.Role("report") != shape.AnyRole || r.Role("load") != shape.WriteRole {
 		t.Errorf("report %v, load %v", r.Role("report"), r.Role("load"))
 	} else if name, _ := r.ClassOf(shape.Read); name != "report" {
 		t.Errorf("reads have class %s", name)
--- a/internal/config/own.go
+++ b/internal/config/own.go
@@ -220,7 +220,7 @@
 			}
 			i, err := indexOfWord(v, "reads", "writes", "any")
 			if err == nil {
-				o.Roles[name] = []shape.Role{shape.Reads, shape.Writes, shape.Any}[i]
+				o.Roles[name] = []shape.Role{shape.ReadRole, shape.WriteRole, shape.AnyRole}[i]
 			}
 			return err
 		}},
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -139,7 +139,7 @@
 	tenantIndexes   map[string]int // positions in the settings
 	statements      StatementOptions
 	roles           map[string]shape.Role
-	unproven        [shape.Doubts]uint64
+	unproven        [shape.NumReasons]uint64
 	Accounts        account.Counters
 	RetryReasons    account.ReasonCounts // repeated attempts, by the end of the previous attempt
 	UnservedReasons account.ReasonCounts // refused and failed requests, by reason
@@ -149,7 +149,7 @@
 
 // StatementOptions configures how statements are recognized.
 type StatementOptions struct {
-	Shapes        *shape.Book
+	Shapes        *shape.Catalog
 	Role          func(class string) shape.Role
 	FillEstimates bool // use the learned estimate for requests without one
 	Faults        *tally.FaultLog
@@ -195,8 +195,8 @@
 // Recognise determines the shape of a request's statement. It sets Shape and Tables on the first call.
 func (c *Coordinator) Recognise(r *Request) {
 	if r.Shape == nil {
-		r.Shape = c.statements.Shapes.Look(r.Statement, r.Dialect, c.tenantIndexes[r.Tenant])
-		r.TableGroup = r.Shape.Group
+		r.Shape = c.statements.Shapes.Recognise(r.Statement, r.Dialect, c.tenantIndexes[r.Tenant])
+		r.TableGroup = r.Shape.TableGroup
 	}
 }
 
@@ -205,7 +205,7 @@
 // have run. Danger: without this, a write that its client sends under a class of lookups could run twice.
 func (c *Coordinator) prepare(r *Request) {
 	c.Recognise(r)
-	if doubt := shape.Judge(c.roles[r.Class], &r.Shape.Info); doubt != shape.Sure {
+	if doubt := shape.CheckRole(c.roles[r.Class], &r.Shape.Info); doubt != shape.NoReason {
 		r.AtMostOnce, r.unproven = true, true
 		c.unproven[doubt]++
 		c.statements.Faults.Add("statement-doubted", "why", doubt, "class", r.Class, "kind", r.Shape.Kind,
@@ -222,7 +222,7 @@
 }
 
 // Unproven returns the number of requests whose statements were not proven safe to repeat for the given reason.
-func (c *Coordinator) Unproven(doubt shape.Doubt) uint64 { return c.unproven[doubt] }
+func (c *Coordinator) Unproven(doubt shape.Reason) uint64 { return c.unproven[doubt] }
 
 // Unanswered returns the number of requests without an answer.
 func (c *Coordinator) Unanswered() int { return c.unanswered }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -127,7 +127,7 @@
 	gauge(owed, float64(s.Owed))
 	gauge(out, float64(s.Out))
 	gauge(clients, float64(s.Clients))
-	count(looks, float64(s.Shapes.Looks))
+	count(looks, float64(s.Shapes.Lookups))
 	count(hits, float64(s.Shapes.Hits))
 	count(evicted, float64(s.Shapes.Evicted))
 	gauge(bytes, float64(s.Shapes.Bytes))
--- a/internal/node/keep_test.go
+++ b/internal/node/keep_test.go
@@ -39,7 +39,7 @@
 		t.Errorf("at the first start: %s", out.String())
 	}
 	for i := range 300 {
-		n.Shapes.Look("SELECT a FROM t"+strings.Repeat("x", i), shape.Postgres, 0)
+		n.Shapes.Recognise("SELECT a FROM t"+strings.Repeat("x", i), shape.Postgres, 0)
 	}
 	for ; now < 1100; now += 10 { // the file is written while the program runs
 		q.RunDue(now)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -55,7 +55,7 @@
 	Sessions    *pg.Sessions
 	Front       *chhttp.Front // nil: no ClickHouse clients are served
 	Watch       *board.Watcher
-	Shapes      *shape.Book
+	Shapes      *shape.Catalog
 	Clock       *clock.Monitor // nil: the wall clock is not watched
 	seats       *seats.Limiter
 	keeper      *snapshot.Keeper // nil: shapes are not kept
@@ -72,7 +72,7 @@
 	faults := &tally.FaultLog{Now: now}
 	fleet := &rest.Fleet{Dialer: d, Deadlines: queue, Now: now, Faults: faults, ConnectTimeout: c.ConnectTimeout,
 		ConnIdleTimeout: c.ConnIdleTimeout * idleShare, MaxConns: int(float64(c.Sockets) * engineShare)}
-	book := shape.NewBook(shape.Options{Bytes: c.ShapeBytes(), Seed: c.Seed})
+	book := shape.NewCatalog(shape.Options{MaxBytes: c.ShapeBytes(), HashSeed: c.Seed})
 	keeper := remember(book, c.Local.Shapes)
 	engines, ch := coordinator.Backend(fleet), (*chengine.Fleet)(nil)
 	speaks := func(k config.Kind) bool { return k.Protocol == "clickhouse" }
@@ -116,7 +116,7 @@
 }
 
 // remember fills a Book from its file, if there is to be one. What can't be believed is told, and the Book stays empty.
-func remember(book *shape.Book, s config.Shapes) *snapshot.Keeper {
+func remember(book *shape.Catalog, s config.Shapes) *snapshot.Keeper {
 	if s.File == "" {
 		return nil
 	}
@@ -172,7 +172,7 @@
 	for _, t := range n.config.Scheduler.Tenants {
 		s.Surges[t.Name] = n.Coordinator.StormState(t.Name)
 	}
-	for d := shape.Sure + 1; d < shape.Doubts; d++ {
+	for d := shape.NoReason + 1; d < shape.NumReasons; d++ {
 		if k := n.Coordinator.Unproven(d); k > 0 {
 			s.Doubts[d.String()] = k
 		}
--- a/internal/shape/book.go
+++ b/internal/shape/book.go
@@ -7,109 +7,112 @@
 	"github.com/zeebo/xxh3"
 )
 
-// mostCanon is the longest canonical text that is remembered, in bytes. Longer ones are read each time.
-const mostCanon = 4096
+// maxCanonicalBytes is the longest canonical text that is cached. Longer ones are parsed each time.
+const maxCanonicalBytes = 4096
 
-// Options of a Book.
+// Options are the settings of a Catalog.
 type Options struct {
-	Bytes int    // that remembered shapes may take
-	Seed  uint64 // of the hash: who knows it could make texts collide and slow the index down
+	MaxBytes int    // memory limit of cached shapes
+	HashSeed uint64 // seed of the index hash; whoever knows it can make texts collide and slow down the index
 }
 
-// Stats count what a Book did.
+// Stats are the counters of a Catalog.
 type Stats struct {
-	Looks    uint64 // statements
-	Hits     uint64 // answered without reading them
-	Uncached uint64 // too long to remember
-	Evicted  uint64
-	Shapes   int
-	Bytes    int
-	Learned  uint64
-	// How far estimates were off, as ratios above 1, in the median: those that requests told, and ours for the same.
-	ToldOff, OwnOff float64
+	Lookups      uint64 // statements looked up
+	Hits         uint64 // statements found in the cache
+	Uncached     uint64 // statements too long to be cached
+	Evicted      uint64
+	Shapes       int    // shapes in the cache
+	Bytes        int    // memory of the cached shapes
+	Observations uint64 // query costs that were learned
+	// Median errors, as ratios of at least 1, of the estimates that requests gave and of the learned estimates for the same
+	// queries.
+	RequestEstimateError, LearnedEstimateError float64
 }
 
-// Book remembers shapes and what they cost. It belongs to one goroutine.
-type Book struct {
-	norm     normal
-	reader   reader
-	seed     uint64
-	cache    *cache
-	bytes    int // as told
-	families map[uint16]*prior
-	kinds    [Write + 1]prior
-	stats    Stats
-	tolds    uint64 // answers whose request told an estimate
-	told     Sketch
-	own      Sketch
+// Catalog caches shapes and learns their costs. It must be used by one goroutine only.
+type Catalog struct {
+	normalizer       normalizer
+	parser           parser
+	hashSeed         uint64
+	cache            *cache
+	maxBytes         int // as configured
+	featurePriors    map[uint16]*prior
+	kindPriors       [Write + 1]prior
+	stats            Stats
+	requestEstimates uint64 // observations whose request gave an estimate
+	requestErrors    Sketch
+	learnedErrors    Sketch
 }
 
-// NewBook returns a Book that knows nothing.
-func NewBook(o Options) *Book {
-	return &Book{seed: o.Seed, cache: newCache(o.Bytes), bytes: o.Bytes, families: map[uint16]*prior{}}
+// NewCatalog returns an empty Catalog.
+func NewCatalog(o Options) *Catalog {
+	return &Catalog{hashSeed: o.HashSeed, cache: newCache(o.MaxBytes), maxBytes: o.MaxBytes, featurePriors: map[uint16]*prior{}}
 }
 
-// Look tells what a statement is. The result stays valid; it is the same for equal shapes while it is remembered. owner
-// says who asks, from 0 to Lanes-1.
-func (b *Book) Look(text string, d Dialect, owner int) *Shape {
-	b.stats.Looks++
-	canon, fault := b.norm.make(text, d)
-	if fault != Whole {
-		return b.faulty(fault)
+// Recognise returns the shape of a statement. The result stays valid after later calls, and equal shapes give the same
+// pointer while the shape is cached. owner identifies the tenant; it is taken modulo MaxOwners.
+func (c *Catalog) Recognise(text string, dialect Dialect, owner int) *Shape {
+	c.stats.Lookups++
+	canonical, lexErr := c.normalizer.normalize(text, dialect)
+	if lexErr != NoLexError {
+		return c.malformedShape(lexErr)
 	}
-	asker := uint8(owner) % Lanes
-	long := len(canon) > mostCanon
-	hash := b.hashOf(canon)
-	if !long {
-		if s := b.cache.find(hash, canon, asker); s != nil {
-			b.stats.Hits++
+	ownerIndex := uint8(owner) % MaxOwners
+	tooLong := len(canonical) > maxCanonicalBytes
+	hash := c.hashCanonical(canonical)
+	if !tooLong {
+		if s := c.cache.find(hash, canonical, ownerIndex); s != nil {
+			c.stats.Hits++
 			return s
 		}
 	}
-	s := b.make(canon, hash, asker)
-	if long {
-		b.stats.Uncached++
+	s := c.newShape(canonical, hash, ownerIndex)
+	if tooLong {
+		c.stats.Uncached++
 		return s
 	}
-	s.canon = append(make([]byte, 0, len(canon)), canon...)
-	b.cache.add(s)
+	s.canonical = append(make([]byte, 0, len(canonical)), canonical...)
+	c.cache.add(s)
 	return s
 }
 
-func (b *Book) hashOf(canon []byte) uint64 { return xxh3.HashSeed(canon, b.seed) }
+func (c *Catalog) hashCanonical(canonical []byte) uint64 { return xxh3.HashSeed(canonical, c.hashSeed) }
 
-func (b *Book) make(canon []byte, hash uint64, asker uint8) *Shape {
-	return &Shape{Info: b.reader.read(string(canon)), ID: xxh3.Hash(canon), hash: hash, asker: asker}
+// newShape parses a canonical text.
+func (c *Catalog) newShape(canonical []byte, hash uint64, owner uint8) *Shape {
+	return &Shape{Info: c.parser.parse(string(canonical)), ID: xxh3.Hash(canonical), hash: hash, lastOwner: owner}
 }
 
-// faulty is the shape of a text that can't be read. What could be read of it still tells its table group.
-func (b *Book) faulty(f Fault) *Shape {
-	s := &Shape{Info: Info{Kind: Unknown, Doubt: Malformed}}
-	if f == TooLong {
-		s.Doubt = OverLong
+// malformedShape returns the shape of a text that can't be split into tokens. Its table group and verb come from the tokens
+// before the error.
+func (c *Catalog) malformedShape(lexErr LexError) *Shape {
+	s := &Shape{Info: Info{Kind: Unknown, Reason: Malformed}}
+	if lexErr == TextTooLong {
+		s.Reason = OverLong
 		return s
 	}
-	part := b.norm.buf[:b.norm.n]
-	i := b.reader.read(string(part))
-	s.Group, s.Verb = i.Group, i.Verb
-	s.ID = xxh3.HashSeed(part, uint64(f))
+	prefix := c.normalizer.buf[:c.normalizer.length]
+	info := c.parser.parse(string(prefix))
+	s.TableGroup, s.Verb = info.TableGroup, info.Verb
+	s.ID = xxh3.HashSeed(prefix, uint64(lexErr))
 	return s
 }
 
-// Name is the shape's name in reports: 16 hex digits.
+// Name returns the shape's ID as 16 hexadecimal digits.
 func (s *Shape) Name() string { return fmt.Sprintf("%016x", s.ID) }
 
-// Text is the shape's canonical text for people, without the mark of its dialect.
+// Text returns the shape's canonical text in readable form, without the dialect.
 func (s *Shape) Text() string {
-	if len(s.canon) < 2 {
+	if len(s.canonical) < 2 {
 		return ""
 	}
 	out := []byte(nil)
-	for _, c := range s.canon[2:] {
+	for _, c := range s.canonical[2:] {
 		switch c {
-		case markRun:
+		case markRepeat:
 			out = append(out, "..."...)
-		case markName, markText:
+		case markHiddenName, markDoBody:
 			out = append(out, '~')
 		default:
 			out = append(out, c)
@@ -118,70 +121,75 @@
 	return string(out)
 }
 
-// measured is how many answers with a told estimate one is measured of.
-const measured = 4
+// errorSampleInterval is the sampling interval of estimation errors: one in so many observations with a request estimate.
+const errorSampleInterval = 4
 
-// Learn takes what a query of a shape took: the work in ms on one core and the memory in MB, and the work that its
-// request told, 0 if it told none.
-func (b *Book) Learn(s *Shape, told, work, mem float64) {
+// Learn adds the cost of a query to its shape: the work in CPU ms and the peak memory in MB. requestEstimate is the work that
+// the request announced, 0 if it announced none.
+func (c *Catalog) Learn(s *Shape, requestEstimate, work, mem float64) {
 	if s == nil || !(work > 0) || math.IsInf(work, 0) || !(mem >= 0) {
 		return
 	}
-	b.stats.Learned++
-	if told > 0 {
-		b.tolds++
+	c.stats.Observations++
+	if requestEstimate > 0 {
+		c.requestEstimates++
 	}
-	if told > 0 && b.tolds%measured == 0 {
-		if e := b.Estimate(s); e.Usable() {
-			b.told.Add(off(told, work))
-			b.own.Add(off(e.Work, work))
+	if requestEstimate > 0 && c.requestEstimates%errorSampleInterval == 0 {
+		if e := c.Estimate(s); e.Usable() {
+			c.requestErrors.Add(errorRatio(requestEstimate, work))
+			c.learnedErrors.Add(errorRatio(e.Work, work))
 		}
 	}
-	n, mean := s.Price.Work.N(), s.Price.Work.Mean()
-	miss := 0.0
-	if n > 0 {
-		miss = math.Log(work/mean) / math.Sqrt(1+1/n) // a mean of few is off by itself
+	count, mean := s.Cost.Work.Count(), s.Cost.Work.Mean()
+	logError := 0.0
+	if count > 0 {
+		logError = math.Log(work/mean) / math.Sqrt(1+1/count) // corrects for the error of a mean of few values
 	}
-	b.family(s).add(work, mem, miss, n > 0)
-	b.kinds[s.Kind].add(work, mem, miss, n > 0)
-	s.Price.Work.Add(work)
-	s.Price.Mem.Add(mem)
+	c.featurePrior(s).add(work, mem, logError, count > 0)
+	c.kindPriors[s.Kind].add(work, mem, logError, count > 0)
+	s.Cost.Work.Add(work)
+	s.Cost.Mem.Add(mem)
 }
 
-func off(a, b float64) float64 { return math.Max(a/b, b/a) }
+// errorRatio returns the ratio of the larger to the smaller of two positive values.
+func errorRatio(a, b float64) float64 { return math.Max(a/b, b/a) }
 
-// family is the prior of a shape's features. There are few: the features are bits and short numbers.
-func (b *Book) family(s *Shape) *prior {
-	k := s.Family()
-	p := b.families[k]
+// featurePrior returns the prior of the shape's feature key. The keys are short, so there are few priors.
+func (c *Catalog) featurePrior(s *Shape) *prior {
+	key := s.FeatureKey()
+	p := c.featurePriors[key]
 	if p == nil {
 		p = &prior{}
-		b.families[k] = p
+		c.featurePriors[key] = p
 	}
 	return p
 }
 
-// Estimate is what a query of a shape is expected to take. A shape heard little leans on those of its features, and
-// these on those of its kind.
-func (b *Book) Estimate(s *Shape) Estimate {
-	kind, family := &b.kinds[s.Kind], b.families[s.Family()]
-	if family == nil {
-		family = &prior{}
+// Estimate returns the expected cost of a query. It combines the mean of the shape with the prior of its features, and that
+// with the prior of its kind; the fewer queries of the shape were seen, the more the priors count.
+func (c *Catalog) Estimate(s *Shape) Estimate {
+	kind, feature := &c.kindPriors[s.Kind], c.featurePriors[s.FeatureKey()]
+	if feature == nil {
+		feature = &prior{}
 	}
-	work := blend(ratio(family.work, family.n), family.n, ratio(kind.work, kind.n), familyWeight)
-	mem := blend(ratio(family.mem, family.memN), family.memN, ratio(kind.mem, kind.memN), familyWeight)
-	w := family.weight()
-	n, m := s.Price.Work.N(), s.Price.Mem.N()
-	return Estimate{Work: blend(s.Price.Work.Mean(), n, work, w), Mem: blend(s.Price.Mem.Mean(), m, mem, w), Sure: n / (n + w)}
+	work := weightedGeometricMean(meanOrZero(feature.workSum, feature.count), feature.count,
+		meanOrZero(kind.workSum, kind.count), kindPriorWeight)
+	mem := weightedGeometricMean(meanOrZero(feature.memSum, feature.memCount), feature.memCount,
+		meanOrZero(kind.memSum, kind.memCount), kindPriorWeight)
+	weight := feature.weight()
+	workCount, memCount := s.Cost.Work.Count(), s.Cost.Mem.Count()
+	return Estimate{Work: weightedGeometricMean(s.Cost.Work.Mean(), workCount, work, weight),
+		Mem:        weightedGeometricMean(s.Cost.Mem.Mean(), memCount, mem, weight),
+		Confidence: workCount / (workCount + weight)}
 }
 
-// Stats tells what the Book did so far.
-func (b *Book) Stats() Stats {
-	s := b.stats
-	s.Evicted, s.Shapes, s.Bytes = b.cache.evicted, b.cache.count, b.cache.used
-	s.ToldOff, s.OwnOff = b.told.Quantile(0.5), b.own.Quantile(0.5)
+// Stats returns the counters.
+func (c *Catalog) Stats() Stats {
+	s := c.stats
+	s.Evicted, s.Shapes, s.Bytes = c.cache.evicted, c.cache.count, c.cache.usedBytes
+	s.RequestEstimateError, s.LearnedEstimateError = c.requestErrors.Quantile(0.5), c.learnedErrors.Quantile(0.5)
 	return s
 }
 
-// Each calls f for every shape remembered.
-func (b *Book) Each(f func(*Shape)) { b.cache.each(f) }
+// Each calls f for every cached shape.
+func (c *Catalog) Each(f func(*Shape)) { c.cache.each(f) }
--- a/internal/shape/cache.go
+++ b/internal/shape/cache.go
@@ -5,210 +5,217 @@
 	"unsafe"
 )
 
-// The cache is S3-FIFO (Yang et al., SOSP 2023): what comes waits in a small queue, goes on to the main queue if it is
-// asked for again meanwhile, and is else dropped and remembered as a ghost; the main queue gives what was asked for
-// another round. A hit sets a counter and moves nothing. Ours: every owner has a pair of queues of its own, a lane, and
-// what must go is taken from the lane that holds most bytes. So a member that floods the cache with new shapes pushes out
-// its own.
+// The cache uses S3-FIFO eviction (Yang et al., SOSP 2023). A new entry waits in a small queue. If it is used again there, it
+// moves to the main queue; otherwise it is evicted and its hash is kept as a ghost. Entries of the main queue that were used
+// again are reinserted instead of being evicted. A hit only increments a counter.
+//
+// Unlike in the paper, each owner has a partition with a small and a main queue of its own, and evictions come from the
+// partition that holds the most bytes. A tenant that floods the cache with new shapes thus evicts its own entries.
 
 const (
-	// Lanes is the number of owners that are told apart.
-	Lanes      = 16
-	smallShare = 10 // one part in so many of a lane is its small queue
-	mostFreq   = 3
-	usualBytes = 512 // of an entry, by which index and ghosts are sized
-	ghostWays  = 8
-	leastBytes = 64 << 10
+	// MaxOwners is the number of owners that the cache tells apart.
+	MaxOwners         = 16
+	smallQueueDivisor = 10 // the small queue may hold 1/10 of a partition
+	maxFrequency      = 3
+	typicalEntryBytes = 512 // sizes the index and the ghost table
+	ghostWays         = 8
+	minCacheBytes     = 64 << 10
 )
 
-// Shape is a statement's shape, with what is known of it.
+// Shape is the shape of a statement with its info and its learned cost.
 type Shape struct {
 	Info
-	ID    uint64 // stable over runs
-	Price Price
+	ID   uint64 // the same in all processes
+	Cost Cost
 
-	canon        []byte
-	hash         uint64
-	chain        *Shape // in the index
-	newer        *Shape // in its queue
-	bytes        int32
-	lane, asker  uint8 // whose queues it stands in, and who asked for it last
-	freq         uint8
-	main, cached bool
+	canonical            []byte
+	hash                 uint64 // seeded hash of canonical
+	nextInBucket         *Shape // next entry in the same bucket of the index
+	nextNewer            *Shape // next entry in the same queue
+	entryBytes           int32
+	partition, lastOwner uint8 // owner of the queue that holds it, and the owner that used it last
+	frequency            uint8 // recent uses, up to maxFrequency
+	inMain, cached       bool
 }
 
-// queue is first in, first out.
+// queue is a FIFO queue, linked through nextNewer.
 type queue struct {
 	oldest, newest *Shape
 	bytes          int
 }
 
 func (q *queue) push(s *Shape) {
-	if s.newer = nil; q.newest == nil {
+	if s.nextNewer = nil; q.newest == nil {
 		q.oldest = s
 	} else {
-		q.newest.newer = s
+		q.newest.nextNewer = s
 	}
 	q.newest = s
-	q.bytes += int(s.bytes)
+	q.bytes += int(s.entryBytes)
 }
 
 func (q *queue) pop() *Shape {
 	s := q.oldest
-	if q.oldest = s.newer; q.oldest == nil {
+	if q.oldest = s.nextNewer; q.oldest == nil {
 		q.newest = nil
 	}
-	s.newer = nil
-	q.bytes -= int(s.bytes)
+	s.nextNewer = nil
+	q.bytes -= int(s.entryBytes)
 	return s
 }
 
-// ghosts remembers the hashes of what was dropped of late, in a table of fixed size: a few ways a bucket, the oldest of
-// a bucket making room.
-type ghosts struct {
-	slots [][ghostWays]uint32
-	turn  []uint8
+// ghostTable holds the hashes of recently evicted entries. It is a set-associative table of fixed size; a new hash replaces
+// the oldest one in its bucket.
+type ghostTable struct {
+	buckets [][ghostWays]uint32
+	nextWay []uint8
 }
 
-func (g *ghosts) bucket(h uint64) int { return int(h>>32) & (len(g.slots) - 1) }
+func (g *ghostTable) bucket(hash uint64) int { return int(hash>>32) & (len(g.buckets) - 1) }
 
-func (g *ghosts) add(h uint64) {
-	b := g.bucket(h)
-	g.slots[b][g.turn[b]%ghostWays] = uint32(h) | 1
-	g.turn[b]++
+func (g *ghostTable) add(hash uint64) {
+	bucket := g.bucket(hash)
+	g.buckets[bucket][g.nextWay[bucket]%ghostWays] = uint32(hash) | 1
+	g.nextWay[bucket]++
 }
 
-// take tells whether a hash is there, and takes it out.
-func (g *ghosts) take(h uint64) bool {
-	b := g.bucket(h)
-	for i, v := range g.slots[b] {
-		if v == uint32(h)|1 {
-			g.slots[b][i] = 0
+// remove removes a hash and reports whether it was present.
+func (g *ghostTable) remove(hash uint64) bool {
+	bucket := g.bucket(hash)
+	for way, stored := range g.buckets[bucket] {
+		if stored == uint32(hash)|1 {
+			g.buckets[bucket][way] = 0
 			return true
 		}
 	}
 	return false
 }
 
-type lane struct{ small, main queue }
+// partition holds the queues of one owner.
+type partition struct{ small, main queue }
 
-func (l *lane) bytes() int { return l.small.bytes + l.main.bytes }
+func (p *partition) bytes() int { return p.small.bytes + p.main.bytes }
 
-// cache holds shapes in at most so many bytes, its own tables among them.
+// cache holds shapes in a limited number of bytes, which includes its own tables.
 type cache struct {
-	most, used int
-	count      int
-	evicted    uint64
-	index      []*Shape
-	lanes      [Lanes]lane
-	ghosts     ghosts
-}
-
-func newCache(most int) *cache {
-	most = max(most, leastBytes)
-	slots := 64
-	for slots*2*usualBytes <= most {
-		slots *= 2
+	maxBytes, usedBytes int
+	count               int
+	evicted             uint64
+	index               []*Shape
+	partitions          [MaxOwners]partition
+	ghosts              ghostTable
+}
+
+// newCache returns an empty cache. Its index and ghost table are sized for entries of typicalEntryBytes.
+func newCache(maxBytes int) *cache {
+	maxBytes = max(maxBytes, minCacheBytes)
+	buckets := 64
+	for buckets*2*typicalEntryBytes <= maxBytes {
+		buckets *= 2
 	}
-	c := &cache{index: make([]*Shape, slots), ghosts: ghosts{slots: make([][ghostWays]uint32, max(slots/ghostWays, 1)), turn: make([]uint8, max(slots/ghostWays, 1))}}
-	c.most = most - slots*8 - slots*4 - slots/ghostWays
+	c := &cache{index: make([]*Shape, buckets), ghosts: ghostTable{
+		buckets: make([][ghostWays]uint32, max(buckets/ghostWays, 1)),
+		nextWay: make([]uint8, max(buckets/ghostWays, 1))}}
+	c.maxBytes = maxBytes - buckets*8 - buckets*4 - buckets/ghostWays
 	return c
 }
 
-// find looks a canonical text up. Danger: two texts may have one hash; only equal ones are one shape.
-func (c *cache) find(hash uint64, canon []byte, asker uint8) *Shape {
-	for s := c.index[hash&uint64(len(c.index)-1)]; s != nil; s = s.chain {
-		if s.hash == hash && bytes.Equal(s.canon, canon) {
-			if s.freq < mostFreq {
-				s.freq++
+// find returns the entry of a canonical text, or nil. Danger: different texts may have the same hash. Without comparing the
+// texts, a write could be taken for a read.
+func (c *cache) find(hash uint64, canonical []byte, owner uint8) *Shape {
+	for s := c.index[hash&uint64(len(c.index)-1)]; s != nil; s = s.nextInBucket {
+		if s.hash == hash && bytes.Equal(s.canonical, canonical) {
+			if s.frequency < maxFrequency {
+				s.frequency++
 			}
-			s.asker = asker
+			s.lastOwner = owner
 			return s
 		}
 	}
 	return nil
 }
 
-// size is what an entry takes, as near as can be told from outside the allocator.
+// size returns the memory of an entry in bytes, apart from allocator overhead that can't be known here.
 func (s *Shape) size() int32 {
-	n := int(unsafe.Sizeof(*s)) + cap(s.canon) + len(s.Verb) + len(s.Group) + 32
+	n := int(unsafe.Sizeof(*s)) + cap(s.canonical) + len(s.Verb) + len(s.TableGroup) + 32
 	for _, set := range [][]string{s.Reads, s.Writes} {
 		n += cap(set) * (int(unsafe.Sizeof("")) + 8)
 	}
 	return int32(n)
 }
 
-// add puts a shape in. It may be dropped again at once.
+// add inserts a shape. It may be evicted at once.
 func (c *cache) add(s *Shape) {
-	s.bytes = s.size()
+	s.entryBytes = s.size()
 	slot := &c.index[s.hash&uint64(len(c.index)-1)]
-	s.chain, *slot = *slot, s
-	s.cached, s.lane = true, s.asker
+	s.nextInBucket, *slot = *slot, s
+	s.cached, s.partition = true, s.lastOwner
 	c.count++
-	c.used += int(s.bytes)
-	l := &c.lanes[s.lane]
-	if s.main = c.ghosts.take(s.hash); s.main {
-		l.main.push(s)
+	c.usedBytes += int(s.entryBytes)
+	p := &c.partitions[s.partition]
+	if s.inMain = c.ghosts.remove(s.hash); s.inMain {
+		p.main.push(s)
 	} else {
-		l.small.push(s)
+		p.small.push(s)
 	}
-	for c.used > c.most {
+	for c.usedBytes > c.maxBytes {
 		c.evict()
 	}
 }
 
-// evict takes one step towards room: it drops a shape or gives one another round.
+// evict takes one step of the eviction algorithm: it removes an entry or moves one to the main queue.
 func (c *cache) evict() {
-	l := &c.lanes[0]
-	for i := range c.lanes {
-		if c.lanes[i].bytes() > l.bytes() {
-			l = &c.lanes[i]
+	largest := &c.partitions[0]
+	for i := range c.partitions {
+		if c.partitions[i].bytes() > largest.bytes() {
+			largest = &c.partitions[i]
 		}
 	}
-	if l.small.oldest != nil && (l.main.oldest == nil || l.small.bytes*smallShare > l.bytes()) {
-		s := l.small.pop()
-		if s.freq == 0 {
+	if largest.small.oldest != nil && (largest.main.oldest == nil || largest.small.bytes*smallQueueDivisor > largest.bytes()) {
+		s := largest.small.pop()
+		if s.frequency == 0 {
 			c.ghosts.add(s.hash)
-			c.drop(s)
+			c.remove(s)
 			return
 		}
-		s.freq = 0
-		c.keep(s)
+		s.frequency = 0
+		c.pushToMain(s)
 		return
 	}
-	s := l.main.pop()
-	if s.freq == 0 {
-		c.drop(s)
+	s := largest.main.pop()
+	if s.frequency == 0 {
+		c.remove(s)
 		return
 	}
-	s.freq--
-	c.keep(s)
+	s.frequency--
+	c.pushToMain(s)
 }
 
-// keep puts a shape into the main queue of who asked for it last.
-func (c *cache) keep(s *Shape) {
-	s.main, s.lane = true, s.asker
-	c.lanes[s.lane].main.push(s)
+// pushToMain appends a shape to the main queue of the owner that used it last.
+func (c *cache) pushToMain(s *Shape) {
+	s.inMain, s.partition = true, s.lastOwner
+	c.partitions[s.partition].main.push(s)
 }
 
-func (c *cache) drop(s *Shape) {
-	for p := &c.index[s.hash&uint64(len(c.index)-1)]; *p != nil; p = &(*p).chain {
+// remove removes a shape, already taken from its queue, from the index.
+func (c *cache) remove(s *Shape) {
+	for p := &c.index[s.hash&uint64(len(c.index)-1)]; *p != nil; p = &(*p).nextInBucket {
 		if *p == s {
-			*p = s.chain
+			*p = s.nextInBucket
 			break
 		}
 	}
-	s.chain, s.cached = nil, false
+	s.nextInBucket, s.cached = nil, false
 	c.count--
-	c.used -= int(s.bytes)
+	c.usedBytes -= int(s.entryBytes)
 	c.evicted++
 }
 
-// each calls f for every shape, lane by lane, oldest first.
+// each calls f for every shape, partition by partition, main queue first and oldest first.
 func (c *cache) each(f func(*Shape)) {
-	for i := range c.lanes {
-		for _, q := range []*queue{&c.lanes[i].main, &c.lanes[i].small} {
-			for s := q.oldest; s != nil; s = s.newer {
+	for i := range c.partitions {
+		for _, q := range []*queue{&c.partitions[i].main, &c.partitions[i].small} {
+			for s := q.oldest; s != nil; s = s.nextNewer {
 				f(s)
 			}
 		}
--- a/internal/shape/dump.go
+++ b/internal/shape/dump.go
@@ -6,204 +6,208 @@
 	"math"
 )
 
-// The kind and version of a Book's snapshot. The version grows with the form of what follows or of canonical texts.
+// The kind and version of a Catalog's snapshot. The version must be incremented when the layout of a dump or the form of
+// canonical texts changes.
 const (
 	DumpKind    = "shapes"
 	DumpVersion = 1
 )
 
-var errDump = errors.New("a shape's entry can't be read")
+var errMalformedDump = errors.New("a shape's entry can't be read")
 
-// Dump writes a Book's content down bit by bit, so that no turn of its owner gets long. What is learned meanwhile may
-// or may not be in it.
+// Dump serializes a Catalog in steps, so that no event-loop turn of its caller gets long. Costs learned between steps may or
+// may not be included.
 type Dump struct {
 	shapes []*Shape
-	b      []byte
+	buf    []byte
 }
 
-// Dump starts to write the Book down. Only canonical texts and prices are kept: what a statement is follows from its
-// canonical text, whoever reads it, so no file can make a write pass for a read.
-func (b *Book) Dump() *Dump {
+// Dump starts to serialize the Catalog. Only canonical texts and costs are stored. Each Info is derived from its canonical
+// text again when the dump is loaded, so that no file can make a write pass for a read.
+func (c *Catalog) Dump() *Dump {
 	d := &Dump{}
-	b.cache.each(func(s *Shape) { d.shapes = append(d.shapes, s) })
-	for k := range b.kinds {
-		d.prior(&b.kinds[k])
+	c.cache.each(func(s *Shape) { d.shapes = append(d.shapes, s) })
+	for k := range c.kindPriors {
+		d.writePrior(&c.kindPriors[k])
 	}
-	d.uint(uint64(len(b.families)))
-	for k, p := range b.families {
-		d.uint(uint64(k))
-		d.prior(p)
+	d.writeUint(uint64(len(c.featurePriors)))
+	for k, p := range c.featurePriors {
+		d.writeUint(uint64(k))
+		d.writePrior(p)
 	}
-	d.uint(uint64(len(d.shapes)))
+	d.writeUint(uint64(len(d.shapes)))
 	return d
 }
 
-// Step writes up to n shapes more, and tells whether that was all.
+// Step writes up to n more shapes and reports whether all are written.
 func (d *Dump) Step(n int) (done bool) {
 	for ; n > 0 && len(d.shapes) > 0; n-- {
 		s := d.shapes[0]
 		d.shapes = d.shapes[1:]
-		d.uint(uint64(len(s.canon)))
-		d.b = append(d.b, s.canon...)
-		flags := s.lane
-		if s.main {
+		d.writeUint(uint64(len(s.canonical)))
+		d.buf = append(d.buf, s.canonical...)
+		flags := s.partition
+		if s.inMain {
 			flags |= 0x80
 		}
-		d.b = append(d.b, flags)
-		d.sketch(&s.Price.Work)
-		d.sketch(&s.Price.Mem)
+		d.buf = append(d.buf, flags)
+		d.writeSketch(&s.Cost.Work)
+		d.writeSketch(&s.Cost.Mem)
 	}
 	return len(d.shapes) == 0
 }
 
-// Bytes is what was written.
-func (d *Dump) Bytes() []byte { return d.b }
+// Bytes returns what was written so far.
+func (d *Dump) Bytes() []byte { return d.buf }
 
-func (d *Dump) uint(v uint64) { d.b = binary.AppendUvarint(d.b, v) }
-func (d *Dump) float(v float64) {
-	d.b = binary.LittleEndian.AppendUint32(d.b, math.Float32bits(float32(v)))
+func (d *Dump) writeUint(value uint64) { d.buf = binary.AppendUvarint(d.buf, value) }
+func (d *Dump) writeFloat(value float64) {
+	d.buf = binary.LittleEndian.AppendUint32(d.buf, math.Float32bits(float32(value)))
 }
 
-func (d *Dump) prior(p *prior) {
+func (d *Dump) writePrior(p *prior) {
 	for _, v := range p.fields() {
-		d.float(*v)
+		d.writeFloat(*v)
 	}
 }
 
+// fields returns the fields of a prior in the order in which they are stored.
 func (p *prior) fields() []*float64 {
-	return []*float64{&p.n, &p.work, &p.mem, &p.log, &p.square, &p.within, &p.heard, &p.memN}
+	return []*float64{&p.count, &p.workSum, &p.memSum, &p.logSum, &p.logSquareSum, &p.errorSquareSum, &p.errorCount, &p.memCount}
 }
 
-func (d *Dump) sketch(s *Sketch) {
-	d.uint(uint64(s.n))
-	if s.n == 0 {
+func (d *Dump) writeSketch(s *Sketch) {
+	d.writeUint(uint64(s.total))
+	if s.total == 0 {
 		return
 	}
-	d.b = binary.AppendVarint(d.b, int64(s.base))
-	d.float(float64(s.sum))
+	d.buf = binary.AppendVarint(d.buf, int64(s.firstBin))
+	d.writeFloat(float64(s.sum))
 	for _, c := range s.bins {
-		d.uint(uint64(c))
+		d.writeUint(uint64(c))
 	}
 }
 
-// undump reads what Dump wrote. The first fault stays, and all that follows it reads as zero.
-type undump struct {
-	b    []byte
-	fail bool
+// dumpReader reads the output of Dump. After the first error, failed stays set and all values read as zero.
+type dumpReader struct {
+	rest   []byte
+	failed bool
 }
 
-func (u *undump) take(n int) []byte {
-	if u.fail || n < 0 || n > len(u.b) {
-		u.fail = true
+// take consumes n bytes and returns them, or nil after an error.
+func (r *dumpReader) take(n int) []byte {
+	if r.failed || n < 0 || n > len(r.rest) {
+		r.failed = true
 		return nil
 	}
-	t := u.b[:n]
-	u.b = u.b[n:]
-	return t
+	taken := r.rest[:n]
+	r.rest = r.rest[n:]
+	return taken
 }
 
-func (u *undump) uint(most uint64) uint64 {
-	v, n := binary.Uvarint(u.b)
-	if u.fail || n <= 0 || v > most {
-		u.fail = true
+func (r *dumpReader) readUint(limit uint64) uint64 {
+	v, n := binary.Uvarint(r.rest)
+	if r.failed || n <= 0 || v > limit {
+		r.failed = true
 		return 0
 	}
-	u.b = u.b[n:]
+	r.rest = r.rest[n:]
 	return v
 }
 
-func (u *undump) float() float64 {
-	t := u.take(4)
-	if t == nil {
+func (r *dumpReader) readFloat() float64 {
+	raw := r.take(4)
+	if raw == nil {
 		return 0
 	}
-	v := float64(math.Float32frombits(binary.LittleEndian.Uint32(t)))
+	v := float64(math.Float32frombits(binary.LittleEndian.Uint32(raw)))
 	if math.IsNaN(v) || math.IsInf(v, 0) {
-		u.fail = true
+		r.failed = true
 		return 0
 	}
 	return v
 }
 
-func (u *undump) prior(p *prior) {
+func (r *dumpReader) readPrior(p *prior) {
 	for _, v := range p.fields() {
-		*v = u.float()
-		if *v < 0 && v != &p.log {
-			u.fail = true
+		*v = r.readFloat()
+		if *v < 0 && v != &p.logSum {
+			r.failed = true
 		}
 	}
 }
 
-func (u *undump) sketch(s *Sketch) {
-	n := u.uint(mostHeard)
+func (r *dumpReader) readSketch(s *Sketch) {
+	n := r.readUint(maxSketchCount)
 	if n == 0 {
 		return
 	}
-	base, used := binary.Varint(u.b)
-	if u.fail || used <= 0 || base < -1000 || base > 1000 {
-		u.fail = true
+	base, used := binary.Varint(r.rest)
+	if r.failed || used <= 0 || base < -1000 || base > 1000 {
+		r.failed = true
 		return
 	}
-	u.b = u.b[used:]
-	s.base, s.sum = int16(base), float32(u.float())
+	r.rest = r.rest[used:]
+	s.firstBin, s.sum = int16(base), float32(r.readFloat())
 	for i := range s.bins {
-		s.bins[i] = uint16(u.uint(mostHeard))
-		s.n += s.bins[i]
+		s.bins[i] = uint16(r.readUint(maxSketchCount))
+		s.total += s.bins[i]
 	}
-	if uint64(s.n) != n || !(s.sum > 0) {
-		u.fail = true
+	if uint64(s.total) != n || !(s.sum > 0) {
+		r.failed = true
 	}
 }
 
-// Load takes a dump into an empty Book and tells how many shapes there were. With an error, the Book stays empty.
-func (b *Book) Load(payload []byte) (n int, err error) {
-	fresh := &Book{seed: b.seed, cache: newCache(b.bytes), bytes: b.bytes, families: map[uint16]*prior{}}
-	u := &undump{b: payload}
-	for k := range fresh.kinds {
-		u.prior(&fresh.kinds[k])
-	}
-	for range u.uint(math.MaxUint16) {
-		k, p := uint16(u.uint(math.MaxUint16)), &prior{}
-		if u.prior(p); u.fail {
-			return 0, errDump
+// Load reads a dump into an empty Catalog and returns the number of shapes in it. After an error the Catalog is still empty.
+func (c *Catalog) Load(payload []byte) (shapes int, err error) {
+	fresh := &Catalog{hashSeed: c.hashSeed, cache: newCache(c.maxBytes), maxBytes: c.maxBytes, featurePriors: map[uint16]*prior{}}
+	r := &dumpReader{rest: payload}
+	for key := range fresh.kindPriors {
+		r.readPrior(&fresh.kindPriors[key])
+	}
+	for range r.readUint(math.MaxUint16) {
+		key, p := uint16(r.readUint(math.MaxUint16)), &prior{}
+		if r.readPrior(p); r.failed {
+			return 0, errMalformedDump
 		}
-		fresh.families[k] = p
+		fresh.featurePriors[key] = p
 	}
-	count := u.uint(math.MaxUint32)
+	count := r.readUint(math.MaxUint32)
 	for range count {
-		canon := u.take(int(u.uint(mostCanon)))
-		flags := u.take(1)
-		if u.fail || !sound(canon) {
-			return 0, errDump
+		canonical := r.take(int(r.readUint(maxCanonicalBytes)))
+		flags := r.take(1)
+		if r.failed || !wellFormed(canonical) {
+			return 0, errMalformedDump
 		}
-		canon = append([]byte(nil), canon...)
-		s := fresh.make(canon, b.hashOf(canon), flags[0]%Lanes)
-		s.canon = canon
-		u.sketch(&s.Price.Work)
-		u.sketch(&s.Price.Mem)
-		if u.fail {
-			return 0, errDump
+		canonical = append([]byte(nil), canonical...)
+		s := fresh.newShape(canonical, c.hashCanonical(canonical), flags[0]%MaxOwners)
+		s.canonical = canonical
+		r.readSketch(&s.Cost.Work)
+		r.readSketch(&s.Cost.Mem)
+		if r.failed {
+			return 0, errMalformedDump
 		}
 		fresh.cache.add(s)
-		if flags[0]&0x80 != 0 { // it earned its place in the main queue
-			s.freq = 1
+		if flags[0]&0x80 != 0 { // it was in the main queue; a use moves it there again
+			s.frequency = 1
 		}
 	}
-	if u.fail || len(u.b) > 0 {
-		return 0, errDump
+	if r.failed || len(r.rest) > 0 {
+		return 0, errMalformedDump
 	}
-	fresh.stats = b.stats
-	*b = *fresh
+	fresh.stats = c.stats
+	*c = *fresh
 	return int(count), nil
 }
 
-// sound tells whether a text can be a canonical one, as far as the reader needs it.
-func sound(canon []byte) bool {
-	if len(canon) < 2 || canon[1] != ' ' || canon[0] != dialectMark[Postgres] && canon[0] != dialectMark[ClickHouse] {
+// wellFormed reports whether a text has the form of a canonical text, as far as the parser depends on it.
+func wellFormed(canonical []byte) bool {
+	if len(canonical) < 2 || canonical[1] != ' ' ||
+		canonical[0] != dialectMark[Postgres] && canonical[0] != dialectMark[ClickHouse] {
 		return false
 	}
-	for i, c := range canon {
-		if c == markRun && (i+1 >= len(canon) || canon[i+1] < '0' || canon[i+1] > '9') {
+	for i, c := range canonical {
+		if c == markRepeat && (i+1 >= len(canonical) || canonical[i+1] < '0' || canonical[i+1] > '9') {
 			return false
 		}
 	}
--- a/internal/shape/info.go
+++ b/internal/shape/info.go
@@ -10,138 +10,140 @@
 // Kind is what a statement does.
 type Kind uint8
 
-// The kinds. A text of several statements is of the latest of these that one of them is.
+// The kinds. A text of several statements has the highest of their kinds, in this order.
 const (
 	Control   Kind = iota // neither reads nor writes tables: SET, BEGIN, SHOW, EXPLAIN
 	Read                  // reads rows
-	Aggregate             // reads rows and makes fewer of them
-	Unknown               // could not be told
-	Write                 // changes tables or what describes them, or locks rows
+	Aggregate             // reads rows and aggregates them
+	Unknown               // not recognised
+	Write                 // changes tables or the schema, or locks rows
 )
 
 var kindNames = [...]string{"control", "read", "aggregate", "unknown", "write"}
 
 func (k Kind) String() string { return kindNames[k] }
 
-// Doubt says why a statement is not known well enough to be trusted.
-type Doubt uint8
+// Reason says why a statement is not proven safe to repeat.
+type Reason uint8
 
-// The doubts. Those before Several are of texts that could not be read.
+// The reasons. Malformed and OverLong mean that the text could not be split into tokens.
 const (
-	Sure          Doubt = iota // none
-	Malformed                  // it can't be cut into tokens
-	OverLong                   // longer than MostText
-	UnknownWord                // it starts with a word that is not known
-	NameHidden                 // a name stands in escapes or in a parameter
-	Several                    // several statements, not all of them reads
-	Body                       // a DO block
-	Dynamic                    // it runs a text or procedure that is not here
-	Effects                    // it calls a function that changes something
-	ForeignCall                // it calls a function of a schema, which may do anything
-	Elsewhere                  // a table function that reaches other places
-	ManyGroups                 // more table groups than are told
-	UnknownKind                // none of the above, yet its kind is not known
-	ClassWrites                // told as a class that reads, it writes
-	ClassControls              // told as a class that reads, it controls
-	Doubts                     // how many there are
+	NoReason            Reason = iota // proven safe
+	Malformed                         // it can't be split into tokens
+	OverLong                          // longer than MaxStatementBytes
+	UnknownWord                       // it starts with an unknown word
+	NameHidden                        // a name is given by a parameter or in Unicode escapes
+	SeveralStatements                 // several statements, not all of them reads
+	DoBody                            // it is a DO block
+	DynamicSQL                        // it runs a text or procedure that is not part of the statement
+	FunctionWithEffects               // it calls a function with side effects
+	SchemaFunction                    // it calls a schema-qualified function, which may have any effect
+	RemoteTableFunction               // it uses a table function that reaches other servers or files
+	TooManyTableGroups                // it names more than maxTableGroups table groups
+	UnknownKind                       // its kind is unknown for none of the other reasons
+	ReadClassWrites                   // it writes, but its class is for reads
+	ReadClassControls                 // it is a control statement, but its class is for reads
+	NumReasons                        // number of reasons
 )
 
-var doubtNames = [Doubts]string{"", "malformed", "over-long", "unknown-word", "name-hidden", "several-statements", "do-body", "dynamic",
-	"function-with-effects", "schema-function", "reaches-elsewhere", "many-groups", "unknown-kind", "class-reads-text-writes", "class-reads-text-controls"}
+var reasonNames = [NumReasons]string{"", "malformed", "over-long", "unknown-word", "name-hidden", "several-statements", "do-body",
+	"dynamic", "function-with-effects", "schema-function", "reaches-elsewhere", "many-groups", "unknown-kind",
+	"class-reads-text-writes", "class-reads-text-controls"}
 
-func (d Doubt) String() string { return doubtNames[d] }
+func (r Reason) String() string { return reasonNames[r] }
 
-// Features are what makes a statement dear. Numbers stop at 255.
+// Features are the properties of a statement that determine its cost. Counts saturate at 255.
 type Features struct {
 	Joins, Subqueries, Aggregates uint8
 	Grouped, Sorted, Limited      bool
 	Distinct, Filtered            bool
-	List                          uint8 // power of 8 of the longest list, VALUES among them
+	ListBucket                    uint8 // lengthBucket of the longest list, rows of VALUES included
 }
 
-// Info is all that is known of a statement from its text. It follows from the canonical text alone.
+// Info is what a statement's text says about it. It depends on the canonical text alone.
 type Info struct {
-	Kind     Kind
-	Doubt    Doubt
-	Reads    []string // table groups, as numbers, sorted
-	Writes   []string
-	Group    string // the one that counts for warmth and locks, or ""
-	Verb     string // the first word, in capitals
-	Features Features
+	Kind       Kind
+	Reason     Reason
+	Reads      []string // table groups that are read, as decimal numbers in string order
+	Writes     []string // table groups that are written, in the same form
+	TableGroup string   // the table group that decides about warm engines and locks, "" if there is none
+	Verb       string   // the first word, in upper case
+	Features   Features
 }
 
-// Family is a small number that statements of like features share.
-func (i *Info) Family() uint16 {
-	f, bit := i.Features, func(b bool) uint16 {
+// FeatureKey encodes the kind and the main features of a statement. Statements with similar features have the same key.
+func (i *Info) FeatureKey() uint16 {
+	features, bit := i.Features, func(b bool) uint16 {
 		if b {
 			return 1
 		}
 		return 0
 	}
-	v := uint16(i.Kind)
-	v = v<<2 | uint16(min(f.Joins, 3))
-	v = v<<1 | bit(f.Grouped)
-	v = v<<1 | bit(f.Sorted)
-	v = v<<1 | bit(f.Limited)
-	v = v<<1 | bit(f.Filtered)
-	return v<<2 | uint16(min(f.List, 3))
+	key := uint16(i.Kind)
+	key = key<<2 | uint16(min(features.Joins, 3))
+	key = key<<1 | bit(features.Grouped)
+	key = key<<1 | bit(features.Sorted)
+	key = key<<1 | bit(features.Limited)
+	key = key<<1 | bit(features.Filtered)
+	return key<<2 | uint16(min(features.ListBucket, 3))
 }
 
-// Role is what a class is for.
+// Role is the purpose of a class.
 type Role uint8
 
-// The roles.
+// The roles of classes.
 const (
-	Reads  Role = iota // its queries read
-	Writes             // it may change tables
-	Any                // nothing is said of it
+	ReadRole  Role = iota // its queries only read
+	WriteRole             // its queries may change tables
+	AnyRole               // its queries may do anything
 )
 
-// Judge tells why a request's statement does not bear what its class promises, Sure if it does. A class that reads
-// may be repeated at will: a text under it that may write must not be. A class that writes is bound by its own rules,
-// which a text that only reads, or is known to write, can't break.
-func Judge(r Role, i *Info) Doubt {
+// CheckRole returns the reason why a statement does not meet the promise of its class, or NoReason if it does. Queries of a
+// read class may be repeated at any time, so a statement that may write must not pass for one. A write class has rules of
+// its own for repeating, which statements that only read or are known to write can't break.
+func CheckRole(role Role, info *Info) Reason {
 	switch {
-	case r == Writes && i.Kind == Write:
-		return Sure
-	case i.Doubt != Sure:
-		return i.Doubt
-	case i.Kind == Unknown:
+	case role == WriteRole && info.Kind == Write:
+		return NoReason
+	case info.Reason != NoReason:
+		return info.Reason
+	case info.Kind == Unknown:
 		return UnknownKind
-	case r == Reads && i.Kind == Write:
-		return ClassWrites
-	case r == Reads && i.Kind == Control:
-		return ClassControls
+	case role == ReadRole && info.Kind == Write:
+		return ReadClassWrites
+	case role == ReadRole && info.Kind == Control:
+		return ReadClassControls
 	}
-	return Sure
+	return NoReason
 }
 
-// group is the number behind the last underscore of a schema's name, without leading zeros. The schema staging has
-// none.
-func group(schema string) (string, bool) {
-	i := strings.LastIndexByte(schema, '_')
-	if i < 1 || strings.EqualFold(schema[:i], "staging") {
+// schemaTableGroup returns the number after the last underscore of a schema name, without leading zeros. Staging schemas
+// belong to no table group.
+func schemaTableGroup(schema string) (string, bool) {
+	underscore := strings.LastIndexByte(schema, '_')
+	if underscore < 1 || strings.EqualFold(schema[:underscore], "staging") {
 		return "", false
 	}
-	n, err := strconv.ParseUint(schema[i+1:], 10, 64)
+	n, err := strconv.ParseUint(schema[underscore+1:], 10, 64)
 	if err != nil || n > math.MaxInt32 {
 		return "", false
 	}
 	return strconv.FormatUint(n, 10), true
 }
 
-// mostGroups bounds the table groups that are told of a statement.
-const mostGroups = 64
+// maxTableGroups limits the table groups that are recorded for a statement, each for reads and for writes.
+const maxTableGroups = 64
 
-// insert adds a text to a sorted set.
-func insert(set []string, s string) []string {
-	if i, in := slices.BinarySearch(set, s); !in {
+// insertSorted adds a string to a sorted set.
+func insertSorted(set []string, s string) []string {
+	if i, found := slices.BinarySearch(set, s); !found {
 		return slices.Insert(set, i, s)
 	}
 	return set
 }
 
-func more(n *uint8) {
+// saturatingIncrement adds one to a counter unless it is at its maximum.
+func saturatingIncrement(n *uint8) {
 	if *n < math.MaxUint8 {
 		*n++
 	}
--- a/internal/shape/normal.go
+++ b/internal/shape/normal.go
@@ -1,8 +1,8 @@
-// Package shape recognises SQL statements: their kind, the table groups that they read and write, and what makes them
-// dear. It remembers statements of the same shape, that is, those that differ in literals, white space, comments and the
-// case of keywords only, and learns what each shape costs.
+// Package shape recognises SQL statements: their kind, the table groups that they read and write, and the features that
+// make them expensive. Statements that differ only in literals, white space, comments and the case of keywords have the
+// same shape. The package caches shapes and learns the cost of each.
 //
-// The package does no input or output, reads no clock and starts no goroutine. A Book belongs to one goroutine.
+// The package does no input or output, reads no clock and starts no goroutine. A Catalog must be used by one goroutine only.
 package shape
 
 import (
@@ -14,544 +14,559 @@
 // Dialect is the language that a statement is written in.
 type Dialect uint8
 
-// The dialects.
+// The supported dialects.
 const (
 	Postgres Dialect = iota
 	ClickHouse
 )
 
-// MostText is the longest statement, in bytes, that is read at all. What is longer is not recognised.
-const MostText = 1 << 20
+// MaxStatementBytes is the longest statement that is tokenized. Longer ones are not recognised.
+const MaxStatementBytes = 1 << 20
 
-// mostDepth bounds open brackets: ClickHouse's own max_parser_depth, and far more than people write.
-const mostDepth = 1000
+// maxBracketDepth limits nested brackets. It equals ClickHouse's max_parser_depth and is far beyond what statements need.
+const maxBracketDepth = 1000
 
-// Fault says why a text could not be cut into tokens.
-type Fault uint8
+// LexError says why a text could not be split into tokens.
+type LexError uint8
 
-// The faults.
+// The lexical errors.
 const (
-	Whole       Fault = iota // none
-	Empty                    // no token in it
-	TooLong                  // over MostText
-	OpenString               // a string or quoted name without its end
-	OpenComment              // a comment without its end
-	Unbalanced               // brackets that do not match
-	TooDeep                  // more than 1,000 open brackets
-	BadByte                  // NUL or another control character
-	BadText                  // not UTF-8
+	NoLexError          LexError = iota // the text was read to its end
+	EmptyText                           // the text holds no token
+	TextTooLong                         // longer than MaxStatementBytes
+	UnterminatedString                  // a string or quoted name without a closing quote
+	UnterminatedComment                 // a block comment that is not closed
+	UnbalancedBrackets                  // brackets that do not match
+	BracketsTooDeep                     // more than maxBracketDepth open brackets
+	ControlCharacter                    // NUL or another control character
+	InvalidCharacter                    // not UTF-8, or a non-ASCII character outside quotes in ClickHouse
 )
 
-var faultNames = [...]string{"", "empty", "over-long", "open-string", "open-comment", "unbalanced", "too-deep", "bad-byte", "bad-text"}
+var lexErrorNames = [...]string{"", "empty", "over-long", "open-string", "open-comment", "unbalanced", "too-deep", "bad-byte",
+	"bad-text"}
 
-func (f Fault) String() string { return faultNames[f] }
+func (e LexError) String() string { return lexErrorNames[e] }
 
-// A canonical text is the literal-free token stream of a statement, on which everything else rests: the shape is its hash,
-// the cache compares it to the byte, and the reader sees nothing else. So what two statements of one shape are taken for
-// can't differ. Its first byte is the dialect; the tokens follow, each behind a space:
+// A canonical text is the token stream of a statement without its literals. The shape ID is its hash, the cache compares it
+// byte for byte, and the parser sees nothing else, so two statements of one shape are always recognised alike. The first
+// byte is the dialect; the tokens follow, each preceded by a space:
 //
-//	word        as written; keywords, and in PostgreSQL all names, in small letters
-//	"na""me"    a quoted name, whatever its quotes were
-//	?           a literal or parameter
-//	??          the operator ? of PostgreSQL
-//	markRun N   the element ahead of it stands 2 to 8^N times in a list
-//	markName    a name given by a parameter
-//	markText    the rest is the text behind DO, which may hold anything
-//	op          any other run of signs
+//	word             as written; keywords, and in PostgreSQL all names, in lower case
+//	"na""me"         a quoted name, in double quotes whatever the source used
+//	?                a literal or parameter
+//	??               the PostgreSQL operator ?
+//	markRepeat N     the preceding list element occurs 8^(N-1)+1 to 8^N times; 7 is the largest N
+//	markHiddenName   a name given by a parameter or in Unicode escapes
+//	markDoBody       the rest is the raw text after DO, which may hold any bytes
+//	op               any other operator or punctuation
 const (
-	markRun  = 1
-	markText = 2
-	markName = 3
-	literal  = '?'
+	markRepeat     = 1
+	markDoBody     = 2
+	markHiddenName = 3
+	markLiteral    = '?'
 )
 
+// dialectMark is the first byte of a canonical text.
 var dialectMark = [...]byte{Postgres: 'p', ClickHouse: 'c'}
 
-// Classes of bytes.
+// Character classes of bytes.
 const (
-	isLetter = 1 << iota
-	isDigit
-	isSpace
-	isOperator // characters of which PostgreSQL makes operators
-	isOdd      // those that let an operator end with a sign
+	classLetter = 1 << iota
+	classDigit
+	classSpace
+	classOperator     // characters that PostgreSQL operators consist of
+	classTrailingSign // operator characters that allow an operator to end with + or -
 )
 
-var class [256]byte
+var byteClass [256]byte
 
-// lower maps capitals to small letters.
-var lower [256]byte
+// lowerCase maps ASCII upper-case letters to lower case.
+var lowerCase [256]byte
 
 func init() {
-	for c := range class {
-		lower[c] = byte(c)
+	for c := range byteClass {
+		lowerCase[c] = byte(c)
 		switch {
 		case c >= 'A' && c <= 'Z':
-			lower[c] = byte(c) + 'a' - 'A'
-			class[c] = isLetter
+			lowerCase[c] = byte(c) + 'a' - 'A'
+			byteClass[c] = classLetter
 		case c >= 'a' && c <= 'z', c == '_', c >= 0x80:
-			class[c] = isLetter
+			byteClass[c] = classLetter
 		case c >= '0' && c <= '9':
-			class[c] = isDigit
+			byteClass[c] = classDigit
 		case c == ' ', c >= '\t' && c <= '\r':
-			class[c] = isSpace
+			byteClass[c] = classSpace
 		case strings.IndexByte("+-*/<>=~!@#%^&|`?", byte(c)) >= 0:
-			class[c] = isOperator
+			byteClass[c] = classOperator
 			if strings.IndexByte("~!@#%^&|`?", byte(c)) >= 0 {
-				class[c] |= isOdd
+				byteClass[c] |= classTrailingSign
 			}
 		}
 	}
 }
 
-// frame is an open bracket, or the whole statement.
-type frame struct {
-	open byte
-	list uint8
-	from int // where the present element starts in the canonical text
-	prev int // the element ahead of it, ...
-	size int // ... its length, 0: none, ...
-	run  int // ... and how often it stood there
+// bracketFrame is the normalizer's state for one open bracket, or for the top level of a statement.
+type bracketFrame struct {
+	bracket       byte
+	listKind      uint8
+	elementStart  int // start of the current list element in the canonical text
+	previousStart int // start of the preceding element
+	previousSize  int // length of the preceding element, 0 if there is none
+	repeats       int // number of consecutive occurrences of the preceding element
 }
 
-// What a frame's commas separate.
+// Kinds of lists whose repeated elements are collapsed.
 const (
-	noList = iota
-	listed // elements of IN or of an array
-	rows   // rows of VALUES
+	noList     = iota
+	valueList  // elements of IN (...) or of an array
+	valuesRows // rows of VALUES
 )
 
-// normal makes canonical texts in a buffer that it keeps.
-type normal struct {
-	buf    []byte // as long as it may have to be
-	n      int    // of it in use
-	frames []frame
-	// The places of the last tokens, newest first; -1: none.
-	t0, t1, t2 int
-	semicolon  bool // one waits for a token behind it
-	start      bool // the next token starts a statement
-	insert     bool // the statement is an INSERT
-	format     bool // ... and its FORMAT has come
+// normalizer builds canonical texts in a buffer that it reuses.
+type normalizer struct {
+	buf    []byte // sized for the longest canonical text of the current statement
+	length int    // bytes of buf in use
+	frames []bracketFrame
+	// Positions of the last tokens in buf, -1 if there is none.
+	lastToken, secondLastToken, thirdLastToken int
+	pendingSemicolon                           bool // a semicolon is written only if another token follows
+	atStatementStart                           bool // the next token starts a statement
+	inInsert                                   bool // the statement is an INSERT
+	formatSeen                                 bool // the FORMAT keyword of the INSERT was read
 }
 
-const keepBuffer = 64 << 10 // bytes of a buffer that is kept
+// maxKeptBufferBytes is the largest buffer that is kept after a long statement.
+const maxKeptBufferBytes = 64 << 10
 
-// make cuts a text into its canonical form. The result is valid up to the next call.
-func (m *normal) make(text string, d Dialect) ([]byte, Fault) {
-	if len(text) > MostText {
-		return nil, TooLong
+// normalize returns the canonical form of a text. The result is valid until the next call.
+func (m *normalizer) normalize(text string, dialect Dialect) ([]byte, LexError) {
+	if len(text) > MaxStatementBytes {
+		return nil, TextTooLong
 	}
-	if need := 3*len(text) + 64; len(m.buf) < need { // a sign may become two, and a space goes ahead
+	if need := 3*len(text) + 64; len(m.buf) < need { // a one-byte token may become two bytes and a space
 		m.buf = make([]byte, max(need, 4096))
-	} else if len(m.buf) > keepBuffer && need < keepBuffer {
-		m.buf = make([]byte, keepBuffer)
-	}
-	m.buf[0], m.n = dialectMark[d], 1
-	m.frames = append(m.frames[:0], frame{})
-	m.t0, m.t1, m.t2 = -1, -1, -1
-	m.semicolon, m.start, m.insert, m.format = false, true, false, false
-	if d == Postgres {
+	} else if len(m.buf) > maxKeptBufferBytes && need < maxKeptBufferBytes {
+		m.buf = make([]byte, maxKeptBufferBytes)
+	}
+	m.buf[0], m.length = dialectMark[dialect], 1
+	m.frames = append(m.frames[:0], bracketFrame{})
+	m.lastToken, m.secondLastToken, m.thirdLastToken = -1, -1, -1
+	m.pendingSemicolon, m.atStatementStart, m.inInsert, m.formatSeen = false, true, false, false
+	if dialect == Postgres {
 		if !utf8.ValidString(text) {
-			return nil, BadText
+			return nil, InvalidCharacter
 		}
 		if strings.IndexByte(text, 0) >= 0 {
-			return nil, BadByte
+			return nil, ControlCharacter
 		}
 	}
-	if f := m.cut(text, d); f != Whole {
-		return nil, f
+	if lexErr := m.lex(text, dialect); lexErr != NoLexError {
+		return nil, lexErr
 	}
 	if len(m.frames) > 1 {
-		return nil, Unbalanced
+		return nil, UnbalancedBrackets
 	}
-	m.element()
-	if m.n == 1 {
-		return nil, Empty
+	m.endElement()
+	if m.length == 1 {
+		return nil, EmptyText
 	}
-	return m.buf[:m.n], Whole
+	return m.buf[:m.length], NoLexError
 }
 
-func (m *normal) cut(s string, d Dialect) Fault {
+// lex splits a text into tokens and adds them to the canonical text.
+func (m *normalizer) lex(s string, dialect Dialect) LexError {
 	for i := 0; i < len(s); {
 		c := s[i]
-		k := class[c]
+		classes := byteClass[c]
 		switch {
-		case k&isSpace != 0:
+		case classes&classSpace != 0:
 			i++
-		case k&isLetter != 0:
-			if c >= 0x80 && d == ClickHouse {
-				return BadText // ClickHouse takes other letters in quoted names only
+		case classes&classLetter != 0:
+			if c >= 0x80 && dialect == ClickHouse {
+				return InvalidCharacter // ClickHouse accepts non-ASCII letters in quoted names only
 			}
-			// Strings and names with a letter ahead of their quote.
+			// Strings and names with a prefix letter before their quote.
 			if j := i + 1; j < len(s) {
-				switch q := s[j]; {
-				case q == '\'' && (d == Postgres && strings.IndexByte("eEbBxXnN", c) >= 0 || d == ClickHouse && strings.IndexByte("bBxX", c) >= 0):
-					n := quoted(s[j:], c|0x20 == 'e')
+				switch quote := s[j]; {
+				case quote == '\'' && (dialect == Postgres && strings.IndexByte("eEbBxXnN", c) >= 0 ||
+					dialect == ClickHouse && strings.IndexByte("bBxX", c) >= 0):
+					n := quotedLength(s[j:], c|0x20 == 'e')
 					if n == 0 {
-						return OpenString
+						return UnterminatedString
 					}
-					m.literal()
+					m.addLiteral()
 					i = j + n
 					continue
-				case q == '&' && c|0x20 == 'u' && d == Postgres && j+1 < len(s) && (s[j+1] == '\'' || s[j+1] == '"'):
-					n := quoted(s[j+1:], false)
+				case quote == '&' && c|0x20 == 'u' && dialect == Postgres && j+1 < len(s) && (s[j+1] == '\'' || s[j+1] == '"'):
+					n := quotedLength(s[j+1:], false)
 					if n == 0 {
-						return OpenString
+						return UnterminatedString
 					}
 					if s[j+1] == '\'' {
-						m.literal()
-					} else { // its escapes may spell any name
-						m.sign(string([]byte{markName}))
+						m.addLiteral()
+					} else { // Unicode escapes may spell any name
+						m.addToken(string([]byte{markHiddenName}))
 					}
 					i = j + 1 + n
 					continue
 				}
 			}
 			n := i + 1
-			for n < len(s) && (class[s[n]]&(isLetter|isDigit) != 0 || s[n] == '$' && d == Postgres) {
-				if s[n] >= 0x80 && d == ClickHouse {
-					return BadText
+			for n < len(s) && (byteClass[s[n]]&(classLetter|classDigit) != 0 || s[n] == '$' && dialect == Postgres) {
+				if s[n] >= 0x80 && dialect == ClickHouse {
+					return InvalidCharacter
 				}
 				n++
 			}
-			if stop, rest := m.word(s[i:n], d); stop {
-				return Whole
-			} else if rest {
-				m.raw(s[n:])
-				return Whole
+			if stop, body := m.addWord(s[i:n], dialect); stop {
+				return NoLexError
+			} else if body {
+				m.addDoBody(s[n:])
+				return NoLexError
 			}
 			i = n
-		case k&isDigit != 0:
-			i += number(s[i:])
-			m.number()
+		case classes&classDigit != 0:
+			i += numberLength(s[i:])
+			m.addNumber()
 		case c == '\'':
-			n := quoted(s[i:], d == ClickHouse)
+			n := quotedLength(s[i:], dialect == ClickHouse)
 			if n == 0 {
-				return OpenString
+				return UnterminatedString
 			}
-			m.literal()
+			m.addLiteral()
 			i += n
-		case c == '"', c == '`' && d == ClickHouse:
-			n := quoted(s[i:], d == ClickHouse)
+		case c == '"', c == '`' && dialect == ClickHouse:
+			n := quotedLength(s[i:], dialect == ClickHouse)
 			if n == 0 {
-				return OpenString
+				return UnterminatedString
 			}
-			m.name(s[i:i+n], d == ClickHouse)
+			m.addQuotedName(s[i:i+n], dialect == ClickHouse)
 			i += n
-		case c == '-' && i+1 < len(s) && s[i+1] == '-', c == '#' && d == ClickHouse && i+1 < len(s) && (s[i+1] == ' ' || s[i+1] == '!'):
+		case c == '-' && i+1 < len(s) && s[i+1] == '-',
+			c == '#' && dialect == ClickHouse && i+1 < len(s) && (s[i+1] == ' ' || s[i+1] == '!'):
 			n := strings.IndexByte(s[i:], '\n')
 			if n < 0 {
-				return Whole
+				return NoLexError
 			}
 			i += n + 1
 		case c == '/' && i+1 < len(s) && s[i+1] == '*':
-			n := comment(s[i:], d == Postgres)
+			n := commentLength(s[i:], dialect == Postgres)
 			if n == 0 {
-				return OpenComment
+				return UnterminatedComment
 			}
 			i += n
 		case c == '$':
-			switch n, whole := dollar(s[i:]); {
-			case n > 0 && !whole:
-				return OpenString
+			switch n, terminated := dollarQuotedLength(s[i:]); {
+			case n > 0 && !terminated:
+				return UnterminatedString
 			case n > 0:
-				m.literal()
+				m.addLiteral()
 				i += n
-			case i+1 < len(s) && class[s[i+1]]&isDigit != 0:
-				for i++; i < len(s) && class[s[i]]&isDigit != 0; i++ {
+			case i+1 < len(s) && byteClass[s[i+1]]&classDigit != 0:
+				for i++; i < len(s) && byteClass[s[i]]&classDigit != 0; i++ {
 				}
-				m.literal()
+				m.addLiteral()
 			default:
-				m.sign("$")
+				m.addToken("$")
 				i++
 			}
 		case c == '(' || c == '[' || c == '{':
-			if c == '{' && d == ClickHouse {
-				if n, name := parameter(s[i:]); n > 0 {
+			if c == '{' && dialect == ClickHouse {
+				if n, name := parameterLength(s[i:]); n > 0 {
 					if name {
-						m.sign(string([]byte{markName}))
+						m.addToken(string([]byte{markHiddenName}))
 					} else {
-						m.literal()
+						m.addLiteral()
 					}
 					i += n
 					continue
 				}
 			}
-			if len(m.frames) > mostDepth {
-				return TooDeep
+			if len(m.frames) > maxBracketDepth {
+				return BracketsTooDeep
 			}
-			m.open(c)
+			m.openBracket(c)
 			i++
 		case c == ')' || c == ']' || c == '}':
 			f := &m.frames[len(m.frames)-1]
-			if len(m.frames) == 1 || f.open != c-1 && f.open != c-2 {
-				return Unbalanced
+			if len(m.frames) == 1 || f.bracket != c-1 && f.bracket != c-2 {
+				return UnbalancedBrackets
 			}
-			m.element()
+			m.endElement()
 			m.frames = m.frames[:len(m.frames)-1]
-			m.char(c)
+			m.addByte(c)
 			i++
 		case c == ',':
 			f := &m.frames[len(m.frames)-1]
-			if f.list != noList {
-				m.element()
+			if f.listKind != noList {
+				m.endElement()
 			}
-			list := f.list
-			f.list = noList // so that the comma itself does not end the rows
-			m.char(',')
-			f.list, f.from = list, m.n
+			listKind := f.listKind
+			f.listKind = noList // keeps addByte from ending the VALUES rows at the comma
+			m.addByte(',')
+			f.listKind, f.elementStart = listKind, m.length
 			i++
 		case c == ';':
 			if len(m.frames) > 1 {
-				return Unbalanced
+				return UnbalancedBrackets
 			}
-			m.element()
-			m.frames[0] = frame{}
-			m.semicolon = m.n > 1
-			m.start, m.insert, m.format = true, false, false
+			m.endElement()
+			m.frames[0] = bracketFrame{}
+			m.pendingSemicolon = m.length > 1
+			m.atStatementStart, m.inInsert, m.formatSeen = true, false, false
 			i++
 		case c == '.':
-			if i+1 < len(s) && class[s[i+1]]&isDigit != 0 && !m.operand(m.t0) {
-				i += number(s[i:])
-				m.number()
+			if i+1 < len(s) && byteClass[s[i+1]]&classDigit != 0 && !m.endsOperand(m.lastToken) {
+				i += numberLength(s[i:])
+				m.addNumber()
 				continue
 			}
-			m.char('.')
+			m.addByte('.')
 			i++
-		case k&isOperator != 0:
-			n := operator(s[i:], d)
-			if n == 1 && c == '?' { // a parameter where a value may stand, else an operator of PostgreSQL
-				if d == ClickHouse || !m.operand(m.t0) {
-					m.literal()
+		case classes&classOperator != 0:
+			n := operatorLength(s[i:], dialect)
+			if n == 1 && c == '?' { // a parameter where a value may start, otherwise the PostgreSQL operator
+				if dialect == ClickHouse || !m.endsOperand(m.lastToken) {
+					m.addLiteral()
 				} else {
-					m.sign("??")
+					m.addToken("??")
 				}
 			} else if n == 1 {
-				m.char(c)
+				m.addByte(c)
 			} else {
-				m.sign(s[i : i+n])
+				m.addToken(s[i : i+n])
 			}
 			i += n
 		case c < ' ' || c == 0x7f:
-			return BadByte
+			return ControlCharacter
 		default:
-			m.char(c)
+			m.addByte(c)
 			i++
 		}
 	}
-	return Whole
+	return NoLexError
 }
 
-// begin makes room for a token: the space ahead of it, and what waited for it.
-func (m *normal) begin() {
-	if m.semicolon {
-		m.semicolon = false
-		m.sign(";")
+// beginToken writes the space before a token, and a pending semicolon before that.
+func (m *normalizer) beginToken() {
+	if m.pendingSemicolon {
+		m.pendingSemicolon = false
+		m.addToken(";")
 	}
-	m.start = false
-	m.t2, m.t1, m.t0 = m.t1, m.t0, m.n
-	m.buf[m.n] = ' '
-	m.n++
+	m.atStatementStart = false
+	m.thirdLastToken, m.secondLastToken, m.lastToken = m.secondLastToken, m.lastToken, m.length
+	m.buf[m.length] = ' '
+	m.length++
 }
 
-// sign adds a token as it is.
-func (m *normal) sign(s string) {
+// addToken adds a token unchanged.
+func (m *normalizer) addToken(s string) {
 	m.endRows(s[0])
-	m.begin()
-	m.n += copy(m.buf[m.n:], s)
+	m.beginToken()
+	m.length += copy(m.buf[m.length:], s)
 }
 
-// char adds a token of one byte.
-func (m *normal) char(c byte) {
+// addByte adds a token of one byte.
+func (m *normalizer) addByte(c byte) {
 	m.endRows(c)
-	m.begin()
-	m.buf[m.n] = c
-	m.n++
+	m.beginToken()
+	m.buf[m.length] = c
+	m.length++
 }
 
-// endRows ends the rows of VALUES as something other than a row follows.
-func (m *normal) endRows(c byte) {
-	if f := &m.frames[len(m.frames)-1]; f.list == rows && c != '(' && c != ')' {
-		m.element()
-		f.list = noList
+// endRows ends the list of VALUES rows if the next token, which starts with c, does not continue it.
+func (m *normalizer) endRows(c byte) {
+	if f := &m.frames[len(m.frames)-1]; f.listKind == valuesRows && c != '(' && c != ')' {
+		m.endElement()
+		f.listKind = noList
 	}
 }
 
-// word adds a word. stop says that what follows is data, rest that it is a text to be kept as it is.
-func (m *normal) word(w string, d Dialect) (stop, rest bool) {
-	start := m.start
+// addWord adds a word. stop means that the rest of the text is the data of an INSERT, body that it is the body of a DO
+// statement.
+func (m *normalizer) addWord(word string, dialect Dialect) (stop, body bool) {
+	startsStatement := m.atStatementStart
 	m.endRows('a')
-	if f := &m.frames[len(m.frames)-1]; f.list == listed && f.from == m.n && f.size == 0 && len(w) >= 4 && starts(w) {
-		f.list = noList // IN (SELECT ...
-	}
-	m.begin()
-	at := m.n
-	for i := 0; i < len(w); i++ {
-		m.buf[at+i] = lower[w[i]]
-	}
-	m.n += len(w)
-	low := m.buf[at:m.n]
-	if d == ClickHouse {
-		if string(low) != w && !keyword(low) { // names keep their case there
-			copy(low, w)
+	if f := &m.frames[len(m.frames)-1]; f.listKind == valueList && f.elementStart == m.length && f.previousSize == 0 &&
+		len(word) >= 4 && startsQuery(word) {
+		f.listKind = noList // IN (SELECT ...
+	}
+	m.beginToken()
+	wordStart := m.length
+	for i := 0; i < len(word); i++ {
+		m.buf[wordStart+i] = lowerCase[word[i]]
+	}
+	m.length += len(word)
+	lowered := m.buf[wordStart:m.length]
+	if dialect == ClickHouse {
+		if string(lowered) != word && !isCaseInsensitive(lowered) { // names are case-sensitive in ClickHouse
+			copy(lowered, word)
 		}
-		if m.format {
+		if m.formatSeen {
 			return true, false
 		}
-		m.format = m.insert && len(m.frames) == 1 && string(low) == "format"
+		m.formatSeen = m.inInsert && len(m.frames) == 1 && string(lowered) == "format"
 	}
-	switch len(w) {
+	switch len(word) {
 	case 2:
-		return false, start && d == Postgres && string(low) == "do"
+		return false, startsStatement && dialect == Postgres && string(lowered) == "do"
 	case 4, 5:
-		if string(low) == "true" || string(low) == "false" || string(low) == "null" {
-			if t := m.t1; !m.is(t, "is") && !m.is(t, "not") && !m.is(t, ".") &&
-				!m.is(t, "analyze") { // danger: EXPLAIN (ANALYZE FALSE) runs nothing, with TRUE it runs
-				m.n = at
-				m.buf[m.n] = literal
-				m.n++
+		if string(lowered) == "true" || string(lowered) == "false" || string(lowered) == "null" {
+			if t := m.secondLastToken; !m.tokenIs(t, "is") && !m.tokenIs(t, "not") && !m.tokenIs(t, ".") &&
+				!m.tokenIs(t, "analyze") { // danger: as literals both give one shape, but only EXPLAIN (ANALYZE TRUE) runs
+				m.length = wordStart
+				m.buf[m.length] = markLiteral
+				m.length++
 			}
 		}
 	case 6:
-		switch string(low) {
+		switch string(lowered) {
 		case "insert":
-			m.insert = m.insert || start
+			m.inInsert = m.inInsert || startsStatement
 		case "values":
-			if f := &m.frames[len(m.frames)-1]; !m.is(m.t1, ".") {
-				f.list, f.from, f.size = rows, m.n, 0
+			if f := &m.frames[len(m.frames)-1]; !m.tokenIs(m.secondLastToken, ".") {
+				f.listKind, f.elementStart, f.previousSize = valuesRows, m.length, 0
 			}
 		}
 	}
 	return false, false
 }
 
-// starts tells whether a word starts a query.
-func starts(w string) bool {
-	return strings.EqualFold(w, "select") || strings.EqualFold(w, "with") || strings.EqualFold(w, "values") || strings.EqualFold(w, "table")
+// startsQuery reports whether a word starts a query.
+func startsQuery(word string) bool {
+	return strings.EqualFold(word, "select") || strings.EqualFold(word, "with") || strings.EqualFold(word, "values") ||
+		strings.EqualFold(word, "table")
 }
 
-// raw keeps the rest of a text. Danger: what stands behind DO is a string that is run; without it, two texts of
-// unlike effect would have one shape.
-func (m *normal) raw(s string) {
-	m.sign(string([]byte{markText}))
-	m.n += copy(m.buf[m.n:], s)
-	m.semicolon = false
+// addDoBody adds the rest of the text unchanged. Danger: the string after DO is executed. If it were dropped as a literal,
+// two statements with different effects would share one shape.
+func (m *normalizer) addDoBody(s string) {
+	m.addToken(string([]byte{markDoBody}))
+	m.length += copy(m.buf[m.length:], s)
+	m.pendingSemicolon = false
 }
 
-// name adds a quoted name, with its quotes made alike.
-func (m *normal) name(s string, escapes bool) {
+// addQuotedName adds a quoted name in double quotes, whatever quotes it has in the text.
+func (m *normalizer) addQuotedName(s string, escapes bool) {
 	m.endRows('"')
-	m.begin()
-	q := s[0]
-	m.buf[m.n] = '"'
-	m.n++
+	m.beginToken()
+	quote := s[0]
+	m.buf[m.length] = '"'
+	m.length++
 	for i := 1; i < len(s)-1; i++ {
 		c := s[i]
 		switch {
-		case c == q: // doubled
+		case c == quote: // a doubled quote
 			i++
 		case c == '\\' && escapes && i+2 < len(s):
 			i++
 			c = s[i]
 		}
 		if c == '"' {
-			m.buf[m.n] = '"'
-			m.n++
+			m.buf[m.length] = '"'
+			m.length++
 		}
-		m.buf[m.n] = c
-		m.n++
+		m.buf[m.length] = c
+		m.length++
 	}
-	m.buf[m.n] = '"'
-	m.n++
+	m.buf[m.length] = '"'
+	m.length++
 }
 
-func (m *normal) literal() {
-	m.char(literal)
+// addLiteral adds the placeholder of a literal.
+func (m *normalizer) addLiteral() {
+	m.addByte(markLiteral)
 }
 
-// number adds a number and takes its sign in: -5 and 5 are literals alike.
-func (m *normal) number() {
-	if t := m.t0; t >= 0 && m.n == t+2 && (m.buf[t+1] == '-' || m.buf[t+1] == '+') && !m.operand(m.t1) {
-		m.n, m.t0, m.t1, m.t2 = t, m.t1, m.t2, -1
+// addNumber adds a number together with its sign, so that -5 and 5 give the same literal.
+func (m *normalizer) addNumber() {
+	if t := m.lastToken; t >= 0 && m.length == t+2 && (m.buf[t+1] == '-' || m.buf[t+1] == '+') &&
+		!m.endsOperand(m.secondLastToken) {
+		m.length, m.lastToken, m.secondLastToken, m.thirdLastToken = t, m.secondLastToken, m.thirdLastToken, -1
 	}
-	m.literal()
+	m.addLiteral()
 }
 
-// is tells whether a word or sign is the token at a place.
-func (m *normal) is(t int, w string) bool {
-	end := t + 1 + len(w)
-	return t >= 0 && end <= m.n && string(m.buf[t+1:end]) == w && (end == m.n || m.buf[end] == ' ')
+// tokenIs reports whether the token at a position of buf equals token.
+func (m *normalizer) tokenIs(pos int, token string) bool {
+	end := pos + 1 + len(token)
+	return pos >= 0 && end <= m.length && string(m.buf[pos+1:end]) == token && (end == m.length || m.buf[end] == ' ')
 }
 
-// operand tells whether the token at a place ends a value, so that a sign behind it is an operator.
-func (m *normal) operand(t int) bool {
-	if t < 0 || t+1 >= m.n {
+// endsOperand reports whether the token at a position of buf ends an operand, so that a following sign is an operator.
+func (m *normalizer) endsOperand(pos int) bool {
+	if pos < 0 || pos+1 >= m.length {
 		return false
 	}
-	switch c := m.buf[t+1]; {
-	case c == literal, c == '"', c == ')', c == ']', c == '}', c == markRun, c == markName:
+	switch c := m.buf[pos+1]; {
+	case c == markLiteral, c == '"', c == ')', c == ']', c == '}', c == markRepeat, c == markHiddenName:
 		return true
-	case class[c]&isLetter != 0:
-		end := t + 1
-		for end < m.n && m.buf[end] != ' ' {
+	case byteClass[c]&classLetter != 0:
+		end := pos + 1
+		for end < m.length && m.buf[end] != ' ' {
 			end++
 		}
-		return !before[string(m.buf[t+1:end])]
+		return !wordsBeforeValue[string(m.buf[pos+1:end])]
 	}
 	return false
 }
 
-func (m *normal) open(c byte) {
-	list := uint8(noList)
+// openBracket adds an opening bracket and pushes its frame.
+func (m *normalizer) openBracket(c byte) {
+	listKind := uint8(noList)
 	if c == '[' {
-		list = listed
-	} else if c == '(' && m.t0 >= 0 && m.n-m.t0 == 3 && m.buf[m.t0+1] == 'i' && m.buf[m.t0+2] == 'n' {
-		list = listed
+		listKind = valueList
+	} else if c == '(' && m.lastToken >= 0 && m.length-m.lastToken == 3 &&
+		m.buf[m.lastToken+1] == 'i' && m.buf[m.lastToken+2] == 'n' {
+		listKind = valueList
 	}
-	if f := &m.frames[len(m.frames)-1]; f.list == rows && f.from < m.n {
-		m.element() // ClickHouse needs no comma between two rows
+	if f := &m.frames[len(m.frames)-1]; f.listKind == valuesRows && f.elementStart < m.length {
+		m.endElement() // ClickHouse allows rows without a comma between them
 	}
 	m.endRows(c)
-	m.begin()
-	m.buf[m.n] = c
-	m.n++
-	m.frames = append(m.frames, frame{open: c, list: list, from: m.n})
+	m.beginToken()
+	m.buf[m.length] = c
+	m.length++
+	m.frames = append(m.frames, bracketFrame{bracket: c, listKind: listKind, elementStart: m.length})
 }
 
-// element ends an element of a list. One that is like the one ahead of it is dropped and counted.
-func (m *normal) element() {
+// endElement ends an element of a list. An element equal to the preceding one is removed and counted as a repetition.
+func (m *normalizer) endElement() {
 	f := &m.frames[len(m.frames)-1]
-	if f.list == noList || f.from >= m.n {
+	if f.listKind == noList || f.elementStart >= m.length {
 		return
 	}
-	size := m.n - f.from
-	if f.size == 0 || f.size != size || !bytes.Equal(m.buf[f.prev:f.prev+size], m.buf[f.from:m.n]) {
-		f.prev, f.size, f.run, f.from = f.from, size, 1, m.n
+	size := m.length - f.elementStart
+	if f.previousSize == 0 || f.previousSize != size ||
+		!bytes.Equal(m.buf[f.previousStart:f.previousStart+size], m.buf[f.elementStart:m.length]) {
+		f.previousStart, f.previousSize, f.repeats, f.elementStart = f.elementStart, size, 1, m.length
 		return
 	}
-	f.run++
-	m.n = f.prev + size
-	m.buf[m.n], m.buf[m.n+1], m.buf[m.n+2] = ' ', markRun, '0'+byte(bucket(f.run))
-	m.t0, m.t1, m.t2 = m.n, -1, -1
-	m.n += 3
-	f.from = m.n
+	f.repeats++
+	m.length = f.previousStart + size
+	m.buf[m.length], m.buf[m.length+1], m.buf[m.length+2] = ' ', markRepeat, '0'+byte(lengthBucket(f.repeats))
+	m.lastToken, m.secondLastToken, m.thirdLastToken = m.length, -1, -1
+	m.length += 3
+	f.elementStart = m.length
 }
 
-// bucket is the power of 8 that a length does not pass, up to 7.
-func bucket(n int) int {
-	b := 0
-	for p := 1; p < n && b < 7; p *= 8 {
-		b++
+// lengthBucket returns the smallest exponent, at most 7, of a power of 8 that is not less than length.
+func lengthBucket(length int) int {
+	bucket := 0
+	for bound := 1; bound < length && bucket < 7; bound *= 8 {
+		bucket++
 	}
-	return b
+	return bucket
 }
 
-// quoted is the length of the quoted text at the start, whose quote is doubled inside it; 0 if it has no end.
-func quoted(s string, escapes bool) int {
-	q := s[0]
+// quotedLength returns the length of the quoted text at the start of s, or 0 if it is not terminated. A doubled quote stands
+// for the quote itself.
+func quotedLength(s string, escapes bool) int {
+	quote := s[0]
 	for i := 1; i < len(s); i++ {
 		switch c := s[i]; {
-		case c == q:
-			if i+1 >= len(s) || s[i+1] != q {
+		case c == quote:
+			if i+1 >= len(s) || s[i+1] != quote {
 				return i + 1
 			}
 			i++
@@ -562,8 +577,8 @@
 	return 0
 }
 
-// comment is the length of the comment in stars at the start; 0 if it has no end.
-func comment(s string, nests bool) int {
+// commentLength returns the length of the block comment at the start of s, or 0 if it is not terminated.
+func commentLength(s string, nests bool) int {
 	depth := 1
 	for i := 2; i+1 < len(s); i++ {
 		switch {
@@ -580,10 +595,11 @@
 	return 0
 }
 
-// dollar is the length of the dollar-quoted text at the start, 0 if none starts there, and whether it has its end.
-func dollar(s string) (n int, whole bool) {
+// dollarQuotedLength returns the length of the dollar-quoted string at the start of s, or 0 if there is none, and whether the
+// string is terminated.
+func dollarQuotedLength(s string) (n int, terminated bool) {
 	i := 1
-	for i < len(s) && (class[s[i]]&isLetter != 0 || class[s[i]]&isDigit != 0 && i > 1) {
+	for i < len(s) && (byteClass[s[i]]&classLetter != 0 || byteClass[s[i]]&classDigit != 0 && i > 1) {
 		i++
 	}
 	if i >= len(s) || s[i] != '$' {
@@ -596,46 +612,48 @@
 	return len(s), false
 }
 
-// parameter is the length of the {name:Type} at the start, 0 if none starts there, and whether it gives a name.
-func parameter(s string) (n int, name bool) {
+// parameterLength returns the length of the parameter {name:Type} at the start of s, or 0 if there is none, and whether its
+// type is Identifier.
+func parameterLength(s string) (n int, name bool) {
 	i := 1
-	for i < len(s) && class[s[i]]&isSpace != 0 {
+	for i < len(s) && byteClass[s[i]]&classSpace != 0 {
 		i++
 	}
 	j := i
-	for j < len(s) && class[s[j]]&(isLetter|isDigit) != 0 {
+	for j < len(s) && byteClass[s[j]]&(classLetter|classDigit) != 0 {
 		j++
 	}
 	if j == i {
 		return 0, false
 	}
-	for j < len(s) && class[s[j]]&isSpace != 0 {
+	for j < len(s) && byteClass[s[j]]&classSpace != 0 {
 		j++
 	}
 	if j >= len(s) || s[j] != ':' {
 		return 0, false
 	}
-	const most = 256 // bytes of a type
-	end := strings.IndexByte(s[j:min(len(s), j+most)], '}')
+	const maxTypeBytes = 256
+	end := strings.IndexByte(s[j:min(len(s), j+maxTypeBytes)], '}')
 	if end < 0 {
 		return 0, false
 	}
 	return j + end + 1, strings.EqualFold(strings.TrimSpace(s[j+1:j+end]), "Identifier")
 }
 
-// number is the length of the number at the start. Letters behind it start a word: PostgreSQL reads 1from as 1 FROM.
-func number(s string) int {
+// numberLength returns the length of the number at the start of s. Letters after a number start a word, since PostgreSQL reads
+// 1from as 1 FROM.
+func numberLength(s string) int {
 	span := func(i int, hex bool) int {
-		for i < len(s) && (class[s[i]]&isDigit != 0 || s[i] == '_' || hex && s[i]|0x20 >= 'a' && s[i]|0x20 <= 'f') {
+		for i < len(s) && (byteClass[s[i]]&classDigit != 0 || s[i] == '_' || hex && s[i]|0x20 >= 'a' && s[i]|0x20 <= 'f') {
 			i++
 		}
 		return i
 	}
 	if len(s) > 2 && s[0] == '0' {
 		switch c := s[1] | 0x20; {
-		case c == 'x' && (class[s[2]]&isDigit != 0 || s[2]|0x20 >= 'a' && s[2]|0x20 <= 'f'):
+		case c == 'x' && (byteClass[s[2]]&classDigit != 0 || s[2]|0x20 >= 'a' && s[2]|0x20 <= 'f'):
 			return span(2, true)
-		case (c == 'o' || c == 'b') && class[s[2]]&isDigit != 0:
+		case (c == 'o' || c == 'b') && byteClass[s[2]]&classDigit != 0:
 			return span(2, false)
 		}
 	}
@@ -648,16 +666,16 @@
 		if j < len(s) && (s[j] == '+' || s[j] == '-') {
 			j++
 		}
-		if j < len(s) && class[s[j]]&isDigit != 0 {
+		if j < len(s) && byteClass[s[j]]&classDigit != 0 {
 			i = span(j, false)
 		}
 	}
 	return i
 }
 
-// operator is the length of the operator at the start.
-func operator(s string, d Dialect) int {
-	if d == ClickHouse {
+// operatorLength returns the length of the operator at the start of s.
+func operatorLength(s string, dialect Dialect) int {
+	if dialect == ClickHouse {
 		if len(s) > 2 && s[:3] == "<=>" {
 			return 3
 		}
@@ -669,18 +687,21 @@
 		}
 		return 1
 	}
-	// PostgreSQL takes as many signs as there are, up to a comment. Such an operator ends with + or - only if it
-	// holds a sign of the second set.
-	const most = 64 // danger: what is given back sign by sign must not be read anew to its end each time
-	n, odd := 0, false
-	for n < len(s) && n < most && class[s[n]]&isOperator != 0 {
+	// PostgreSQL takes the longest run of operator characters, up to a comment. The operator may end with + or - only if
+	// it contains a character of classTrailingSign.
+	//
+	// Danger: a long run of signs is split byte by byte. Without maxOperatorBytes each step would scan the rest of the run,
+	// which takes quadratic time.
+	const maxOperatorBytes = 64
+	n, trailingSign := 0, false
+	for n < len(s) && n < maxOperatorBytes && byteClass[s[n]]&classOperator != 0 {
 		if n+1 < len(s) && (s[n] == '-' && s[n+1] == '-' || s[n] == '/' && s[n+1] == '*') {
 			break
 		}
-		odd = odd || class[s[n]]&isOdd != 0
+		trailingSign = trailingSign || byteClass[s[n]]&classTrailingSign != 0
 		n++
 	}
-	for !odd && n > 1 && (s[n-1] == '+' || s[n-1] == '-') {
+	for !trailingSign && n > 1 && (s[n-1] == '+' || s[n-1] == '-') {
 		n--
 	}
 	return max(n, 1)
--- a/internal/shape/price.go
+++ b/internal/shape/price.go
@@ -2,68 +2,68 @@
 
 import "math"
 
-// A sketch counts values in bins whose bounds grow by a fixed ratio, as DDSketch does (Masson et al., VLDB 2019): a
-// quantile is off by 9% at most, two sketches add up to the sketch of both, and it takes 80 bytes. Where values spread
-// over more bins than there are, the lowest run together. What is old fades: once it holds mostHeard values, all count
-// half.
+// A sketch counts values in logarithmic bins, like DDSketch (Masson et al., VLDB 2019). A quantile is off by 9% at most, two
+// sketches can be merged, and a sketch takes 80 bytes. When the values span more bins than there are, the lowest bins are
+// merged. Old values decay: when a sketch holds maxSketchCount values, all counts are halved.
 const (
-	sketchBins   = 24
-	binsPerTwo   = 4 // bins for each doubling
-	mostHeard    = 256
-	leastValue   = 1e-3
-	greatest     = 1e9
-	medianWithin = 1.0905 // 2^(1/8): by which a quantile may be off, as a ratio
+	sketchBins            = 24
+	binsPerDoubling       = 4 // bins per doubling of the value
+	maxSketchCount        = 256
+	minSketchValue        = 1e-3
+	maxSketchValue        = 1e9
+	maxQuantileErrorRatio = 1.0905 // 2^(1/8), half the width of a bin
 )
 
-// Sketch holds a distribution of positive values.
+// Sketch is a quantile sketch of positive values that gives recent values more weight.
 type Sketch struct {
-	base  int16 // the number of the first bin
-	epoch uint8 // how often it has faded
-	n     uint16
-	bins  [sketchBins]uint16
-	sum   float32
+	firstBin   int16 // number of the first bin
+	decayCount uint8 // number of decays
+	total      uint16
+	bins       [sketchBins]uint16
+	sum        float32
 }
 
-func bin(v float64) int {
-	return int(math.Floor(math.Log2(v) * binsPerTwo))
+// binNumber returns the number of the bin that a value belongs to.
+func binNumber(value float64) int {
+	return int(math.Floor(math.Log2(value) * binsPerDoubling))
 }
 
-// Add takes a value in. What is no positive number is passed over.
-func (s *Sketch) Add(v float64) {
-	if !(v > 0) {
+// Add adds a value. Values that are not positive numbers are ignored.
+func (s *Sketch) Add(value float64) {
+	if !(value > 0) {
 		return
 	}
-	v = math.Max(leastValue, math.Min(v, greatest))
-	s.count(bin(v), 1)
-	s.sum += float32(v)
-	if s.n >= mostHeard {
-		s.fade()
+	value = math.Max(minSketchValue, math.Min(value, maxSketchValue))
+	s.addToBin(binNumber(value), 1)
+	s.sum += float32(value)
+	if s.total >= maxSketchCount {
+		s.decay()
 	}
 }
 
-// count adds to a bin by its number, moving the bins if need be.
-func (s *Sketch) count(i int, by uint16) {
-	if s.n == 0 {
-		s.base = int16(i - sketchBins/2)
+// addToBin adds to the count of a bin, shifting the bins if the number is outside their range.
+func (s *Sketch) addToBin(bin int, by uint16) {
+	if s.total == 0 {
+		s.firstBin = int16(bin - sketchBins/2)
 	}
-	at := i - int(s.base)
-	if at < 0 { // down, as far as the upper bins are empty
+	index := bin - int(s.firstBin)
+	if index < 0 { // shifts the range down as far as the highest bins are empty
 		free := 0
 		for free < sketchBins && s.bins[sketchBins-1-free] == 0 {
 			free++
 		}
-		if by := min(-at, free); by > 0 {
+		if by := min(-index, free); by > 0 {
 			copy(s.bins[by:], s.bins[:sketchBins-by])
 			clear(s.bins[:by])
-			s.base -= int16(by)
+			s.firstBin -= int16(by)
 		}
-		at = max(i-int(s.base), 0)
+		index = max(bin-int(s.firstBin), 0)
 	}
-	if at >= sketchBins { // up: the lowest bins run together
-		by := at - sketchBins + 1
-		low := uint16(0)
+	if index >= sketchBins { // shifts the range up and merges the lowest bins
+		by := index - sketchBins + 1
+		merged := uint16(0)
 		for j := 0; j < min(by+1, sketchBins); j++ {
-			low += s.bins[j]
+			merged += s.bins[j]
 		}
 		if by < sketchBins {
 			copy(s.bins[:], s.bins[by:])
@@ -71,133 +71,139 @@
 		} else {
 			clear(s.bins[:])
 		}
-		s.bins[0] = low
-		s.base += int16(by)
-		at = sketchBins - 1
+		s.bins[0] = merged
+		s.firstBin += int16(by)
+		index = sketchBins - 1
 	}
-	s.bins[at] += by
-	s.n += by
+	s.bins[index] += by
+	s.total += by
 }
 
-// fade halves what is known. Odd counts are rounded up and down by turns, so that a single value fades as well.
-func (s *Sketch) fade() {
-	was := s.n
-	s.n, s.epoch = 0, s.epoch+1
+// decay halves all counts. Odd counts are rounded up and down in turn, so that a single value decays too.
+func (s *Sketch) decay() {
+	previous := s.total
+	s.total, s.decayCount = 0, s.decayCount+1
 	for i := range s.bins {
-		s.bins[i] = (s.bins[i] + uint16((i+int(s.epoch))&1)) / 2
-		s.n += s.bins[i]
+		s.bins[i] = (s.bins[i] + uint16((i+int(s.decayCount))&1)) / 2
+		s.total += s.bins[i]
 	}
-	s.sum *= float32(s.n) / float32(was)
+	s.sum *= float32(s.total) / float32(previous)
 }
 
-// Merge adds what another sketch holds.
-func (s *Sketch) Merge(o *Sketch) {
-	for i, by := range o.bins {
-		if by > 0 {
-			s.count(int(o.base)+i, by)
+// Merge adds the values of another sketch.
+func (s *Sketch) Merge(other *Sketch) {
+	for i, count := range other.bins {
+		if count > 0 {
+			s.addToBin(int(other.firstBin)+i, count)
 		}
 	}
-	s.sum += o.sum
-	for s.n >= mostHeard {
-		s.fade()
+	s.sum += other.sum
+	for s.total >= maxSketchCount {
+		s.decay()
 	}
 }
 
-// N is how many values it holds.
-func (s *Sketch) N() float64 { return float64(s.n) }
+// Count returns the number of values held, after decay.
+func (s *Sketch) Count() float64 { return float64(s.total) }
 
-// Mean is the mean of what it holds, 0 if that is nothing.
+// Mean returns the mean of the values held, 0 if there are none.
 func (s *Sketch) Mean() float64 {
-	if s.n == 0 {
+	if s.total == 0 {
 		return 0
 	}
-	return float64(s.sum) / float64(s.n)
+	return float64(s.sum) / float64(s.total)
 }
 
-// Quantile is the value that the share q of all lie under, 0 if there are none.
+// Quantile returns an estimate of the q-quantile, 0 if the sketch holds no values.
 func (s *Sketch) Quantile(q float64) float64 {
-	left := q * float64(s.n)
+	remaining := q * float64(s.total)
 	for i, c := range s.bins {
-		if left -= float64(c); c > 0 && left <= 0 {
-			return math.Exp2((float64(int(s.base)+i) + 0.5) / binsPerTwo)
+		if remaining -= float64(c); c > 0 && remaining <= 0 {
+			return math.Exp2((float64(int(s.firstBin)+i) + 0.5) / binsPerDoubling)
 		}
 	}
 	return 0
 }
 
-// Price is what a shape's queries took.
-type Price struct {
-	Work, Mem Sketch // ms on one core, MB
+// Cost is the distribution of what the queries of a shape took.
+type Cost struct {
+	Work, Mem Sketch // CPU ms, peak memory in MB
 }
 
-// prior is what queries of like features took. Its logarithms tell how far shapes lie apart, and how far the queries
-// of one shape do.
+// prior is the prior distribution of the cost of queries with similar features. The sums of logarithms give the variance
+// between shapes and the variance within one shape.
 type prior struct {
-	n, work, mem float64 // fading count, and sums
-	log, square  float64 // sums of logarithms of the work and of their squares
-	within       float64 // sum of squares of what a shape's own mean was off by
-	heard        float64 // how many of those
-	memN         float64
+	count, workSum, memSum float64 // number of queries after decay, and sums of their costs
+	logSum, logSquareSum   float64 // sums of the logarithms of the work and of their squares
+	errorSquareSum         float64 // sum of the squared logarithmic errors of shapes' own means
+	errorCount             float64 // number of these errors
+	memCount               float64 // number of queries with known memory
 }
 
-const mostPrior = 4096 // queries that a prior looks back on
+const maxPriorCount = 4096 // queries after which the sums of a prior are halved
 
-func (p *prior) add(work, mem, off float64, known bool) {
-	if p.n >= mostPrior {
-		for _, v := range []*float64{&p.n, &p.work, &p.mem, &p.log, &p.square, &p.within, &p.heard, &p.memN} {
+// add adds the cost of a query. If hasError is set, logError is the logarithmic error that the mean of the query's own shape
+// had for its work.
+func (p *prior) add(work, mem, logError float64, hasError bool) {
+	if p.count >= maxPriorCount {
+		for _, v := range []*float64{&p.count, &p.workSum, &p.memSum, &p.logSum, &p.logSquareSum, &p.errorSquareSum,
+			&p.errorCount, &p.memCount} {
 			*v /= 2
 		}
 	}
-	l := math.Log(work)
-	p.n, p.work, p.log, p.square = p.n+1, p.work+work, p.log+l, p.square+l*l
-	if known {
-		p.within, p.heard = p.within+off*off, p.heard+1
+	logWork := math.Log(work)
+	p.count, p.workSum, p.logSum, p.logSquareSum = p.count+1, p.workSum+work, p.logSum+logWork, p.logSquareSum+logWork*logWork
+	if hasError {
+		p.errorSquareSum, p.errorCount = p.errorSquareSum+logError*logError, p.errorCount+1
 	}
 	if mem > 0 {
-		p.mem, p.memN = p.mem+mem, p.memN+1
+		p.memSum, p.memCount = p.memSum+mem, p.memCount+1
 	}
 }
 
-// weight is how many queries of a shape's own the prior is worth: the spread inside shapes against that among them.
+// weight returns the number of a shape's own queries that the prior counts as: the ratio of the variance within shapes to
+// the variance between them.
 func (p *prior) weight() float64 {
-	if p.heard < 8 || p.n < 8 {
-		return usualWeight
+	if p.errorCount < 8 || p.count < 8 {
+		return defaultPriorWeight
 	}
-	mean := p.log / p.n
-	total := math.Max(p.square/p.n-mean*mean, 0)
-	in := p.within / p.heard
-	return math.Max(leastWeight, math.Min(in/math.Max(total-in, 0.01), mostWeight))
+	mean := p.logSum / p.count
+	totalVariance := math.Max(p.logSquareSum/p.count-mean*mean, 0)
+	withinVariance := p.errorSquareSum / p.errorCount
+	return math.Max(minPriorWeight, math.Min(withinVariance/math.Max(totalVariance-withinVariance, 0.01), maxPriorWeight))
 }
 
+// Weights are numbers of queries.
 const (
-	usualWeight  = 3.0
-	leastWeight  = 0.5
-	mostWeight   = 50.0
-	familyWeight = 8.0 // queries that a kind's mean is worth beside a family's own
-	sureEnough   = 0.5 // from which an estimate is used
+	defaultPriorWeight  = 3.0 // until a prior holds 8 queries and 8 errors
+	minPriorWeight      = 0.5
+	maxPriorWeight      = 50.0
+	kindPriorWeight     = 8.0 // weight of a kind's mean against the mean of the same features
+	minUsableConfidence = 0.5 // smallest confidence of a usable estimate
 )
 
-// Estimate is what a query is expected to take.
+// Estimate is the expected cost of a query.
 type Estimate struct {
-	Work, Mem float64 // ms on one core, MB; 0: not known
-	Sure      float64 // from 0 to 1: how much of it rests on the shape's own queries
+	Work, Mem  float64 // CPU ms, peak memory in MB; 0 if not known
+	Confidence float64 // from 0 to 1: the share of the shape's own queries in the estimate of work
 }
 
-// Usable tells whether the estimate is worth giving.
-func (e Estimate) Usable() bool { return e.Work > 0 && e.Sure >= sureEnough }
+// Usable reports whether the estimate is reliable enough to be used.
+func (e Estimate) Usable() bool { return e.Work > 0 && e.Confidence >= minUsableConfidence }
 
-// blend is the mean of two values in their logarithms; one that is 0 is not known.
-func blend(a, wa, b, wb float64) float64 {
+// weightedGeometricMean returns the weighted geometric mean of a and b. A value that is not positive counts as unknown.
+func weightedGeometricMean(a, weightA, b, weightB float64) float64 {
 	switch {
-	case !(a > 0) || wa <= 0:
+	case !(a > 0) || weightA <= 0:
 		return b
-	case !(b > 0) || wb <= 0:
+	case !(b > 0) || weightB <= 0:
 		return a
 	}
-	return math.Exp((wa*math.Log(a) + wb*math.Log(b)) / (wa + wb))
+	return math.Exp((weightA*math.Log(a) + weightB*math.Log(b)) / (weightA + weightB))
 }
 
-func ratio(sum, n float64) float64 {
+// meanOrZero returns the mean of n values with the given sum, 0 if there are none.
+func meanOrZero(sum, n float64) float64 {
 	if n <= 0 {
 		return 0
 	}
--- a/internal/shape/read.go
+++ b/internal/shape/read.go
@@ -5,732 +5,748 @@
 	"strings"
 )
 
-// tokens walks over a canonical text.
-type tokens struct {
-	s string
-	i int
+// tokenReader iterates over the tokens of a canonical text.
+type tokenReader struct {
+	text string
+	pos  int
 }
 
-// next is the next token; empty at the end. Quoted names come with their quotes.
-func (t *tokens) next() string {
-	if t.i >= len(t.s) {
+// next consumes and returns the next token, or "" at the end of the text. Quoted names keep their quotes.
+func (t *tokenReader) next() string {
+	if t.pos >= len(t.text) {
 		return ""
 	}
-	from := t.i + 1 // behind the space
-	end := from
-	if end < len(t.s) && t.s[end] == '"' {
-		for end++; end < len(t.s); end++ {
-			if t.s[end] == '"' {
-				if end++; end >= len(t.s) || t.s[end] != '"' {
+	start := t.pos + 1 // skips the space
+	end := start
+	if end < len(t.text) && t.text[end] == '"' {
+		for end++; end < len(t.text); end++ {
+			if t.text[end] == '"' {
+				if end++; end >= len(t.text) || t.text[end] != '"' {
 					break
 				}
 			}
 		}
 	} else {
-		for end < len(t.s) && t.s[end] != ' ' {
+		for end < len(t.text) && t.text[end] != ' ' {
 			end++
 		}
 	}
-	t.i = end
-	return t.s[from:end]
+	t.pos = end
+	return t.text[start:end]
 }
 
-// peek is the token that next gives.
-func (t *tokens) peek() string {
-	i := t.i
-	s := t.next()
-	t.i = i
-	return s
+// peek returns the next token without consuming it.
+func (t *tokenReader) peek() string {
+	pos := t.pos
+	token := t.next()
+	t.pos = pos
+	return token
 }
 
-// rest is all that is left, without the space ahead of it.
-func (t *tokens) rest() string {
-	s := t.s[min(t.i+1, len(t.s)):]
-	t.i = len(t.s)
-	return s
+// rest consumes and returns the remaining text without its leading space.
+func (t *tokenReader) rest() string {
+	text := t.text[min(t.pos+1, len(t.text)):]
+	t.pos = len(t.text)
+	return text
 }
 
-// Clauses of a statement.
+// Clauses of a statement that decide how the next names are read.
 const (
-	other     = iota
-	selecting // the list behind SELECT
-	from      // tables
-	on        // a join's condition: a comma goes back to tables
-	naming    // a list of names behind a word of DDL
+	clauseOther         = iota
+	clauseSelectList    // the select list
+	clauseFrom          // a list of tables
+	clauseJoinCondition // the condition of a join; a comma returns to the list of tables
+	clauseNameList      // the list of object names of a DDL statement
 )
 
-// level is an open bracket of the reader, or a whole statement.
-type level struct {
-	statement string // its first word, "" in brackets that hold no statement
-	clause    uint8
-	fresh     bool // its first token is still to come
-	modifies  bool // INSERT and its like may start it
-	expect    bool // a table's name comes next
-	target    bool // ... and that table is written
-	schema    bool // ... or a schema's name comes next
-	call      bool // the arguments of a function
-	aggregate bool // ... that aggregates
-	with      bool // in the list behind WITH
-	plan      bool // EXPLAIN: what follows is not run
-	nested    bool // the statement under way stands inside another, as behind PREPARE
-	copied    string
+// scope is the parser's state for one open bracket, or for the top level of a statement.
+type scope struct {
+	statement          string // first word of the statement, "" in brackets that hold no statement
+	clause             uint8
+	atStart            bool   // no token has been read yet
+	allowsModifying    bool   // data-modifying statements such as INSERT may start here
+	expectTable        bool   // a table name comes next
+	tableWritten       bool   // the expected table is written
+	expectSchema       bool   // a schema name comes next
+	functionArguments  bool   // the bracket holds the arguments of a function
+	aggregateArguments bool   // the bracket holds the arguments of an aggregate function
+	withList           bool   // inside the list of common table expressions of WITH
+	planOnly           bool   // EXPLAIN without ANALYZE: the statement is not run
+	nestedStatement    bool   // the statement is part of another one, such as PREPARE
+	copyTableGroup     string // table group of COPY, whose direction is not known yet
 }
 
-// reader makes an Info of a canonical text. It keeps its stack between calls.
-type reader struct {
-	levels []level
-	inner  normal // for the text behind DO
+// parser derives an Info from a canonical text. It reuses its stack between calls.
+type parser struct {
+	scopes           []scope
+	doBodyNormalizer normalizer // for the body of a DO block
 }
 
-// reading is what a reader knows of the text under way.
-type reading struct {
-	*reader
-	t       tokens
-	d       Dialect
-	info    *Info
-	body    bool // the text of a DO block
-	first   string
-	last    string // the token ahead of the present one
-	before  string // and the one ahead of that
-	other   string // the group of a name that is no table's
-	count   int    // statements
-	kinds   [Write + 1]bool
-	locks   bool // FOR UPDATE and its like
-	pending bool // an aggregate has been closed, and no OVER been seen
+// parseState is the state of the parser for one text.
+type parseState struct {
+	*parser
+	tokens           tokenReader
+	dialect          Dialect
+	info             *Info
+	inDoBody         bool // the text is the body of a DO block
+	firstWord        string
+	lastToken        string // the token before the current one
+	secondLastToken  string // the token before lastToken
+	otherTableGroup  string // table group of the first dotted name that is not a table
+	statements       int
+	kindsSeen        [Write + 1]bool
+	locksRows        bool // a row lock such as FOR UPDATE was seen
+	pendingAggregate bool // an aggregate call has just ended; OVER would make it a window function
 }
 
-// read tells what a canonical text is.
-func (r *reader) read(canon string) Info {
+// parse derives the Info of a canonical text.
+func (p *parser) parse(canonical string) Info {
 	var info Info
-	if canon == "" {
-		info.Kind, info.Doubt = Unknown, Malformed
+	if canonical == "" {
+		info.Kind, info.Reason = Unknown, Malformed
 		return info
 	}
-	d := Postgres
-	if canon[0] == dialectMark[ClickHouse] {
-		d = ClickHouse
+	dialect := Postgres
+	if canonical[0] == dialectMark[ClickHouse] {
+		dialect = ClickHouse
 	}
-	g := &reading{reader: r, t: tokens{s: canon, i: 1}, d: d, info: &info}
-	g.run()
-	g.finish()
+	state := &parseState{parser: p, tokens: tokenReader{text: canonical, pos: 1}, dialect: dialect, info: &info}
+	state.parseTokens()
+	state.finish()
 	return info
 }
 
-func (g *reading) finish() {
-	i := g.info
+// finish derives the kind, the reason and the table groups from what was seen in the whole text.
+func (p *parseState) finish() {
+	info := p.info
 	for k := Write; ; k-- {
-		if g.kinds[k] {
-			i.Kind = k
+		if p.kindsSeen[k] {
+			info.Kind = k
 			break
 		}
 		if k == Control {
-			if g.count == 0 {
-				i.Kind = Unknown
+			if p.statements == 0 {
+				info.Kind = Unknown
 			}
 			break
 		}
 	}
-	if i.Kind == Read && i.Features.Aggregates > 0 || i.Kind == Read && i.Features.Grouped {
-		i.Kind = Aggregate
+	if info.Kind == Read && info.Features.Aggregates > 0 || info.Kind == Read && info.Features.Grouped {
+		info.Kind = Aggregate
 	}
-	if g.count > 1 && (g.kinds[Write] || g.kinds[Control] || g.kinds[Unknown]) {
-		g.doubt(Several)
+	if p.statements > 1 && (p.kindsSeen[Write] || p.kindsSeen[Control] || p.kindsSeen[Unknown]) {
+		p.setReason(SeveralStatements)
 	}
-	if i.Group == "" {
-		i.Group = g.other
+	if info.TableGroup == "" {
+		info.TableGroup = p.otherTableGroup
 	}
-	if g.locks {
-		for _, x := range i.Reads {
-			i.Writes = insert(i.Writes, x)
+	if p.locksRows {
+		for _, group := range info.Reads {
+			info.Writes = insertSorted(info.Writes, group)
 		}
 	}
-	i.Verb = strings.ToUpper(g.first)
+	info.Verb = strings.ToUpper(p.firstWord)
 }
 
-// doubt notes a reason, unless there is one already.
-func (g *reading) doubt(d Doubt) {
-	if g.info.Doubt == Sure {
-		g.info.Doubt = d
+// setReason records a reason unless one is already set.
+func (p *parseState) setReason(reason Reason) {
+	if p.info.Reason == NoReason {
+		p.info.Reason = reason
 	}
 }
 
-// mark notes what the text does, unless it is only planned.
-func (g *reading) mark(k Kind) {
-	if !g.levels[0].plan {
-		g.kinds[k] = true
+// addKind records a kind unless the statement is only planned.
+func (p *parseState) addKind(kind Kind) {
+	if !p.scopes[0].planOnly {
+		p.kindsSeen[kind] = true
 	}
 }
 
-func (g *reading) top() *level { return &g.levels[len(g.levels)-1] }
+func (p *parseState) currentScope() *scope { return &p.scopes[len(p.scopes)-1] }
 
-func (g *reading) run() {
-	g.levels = append(g.levels[:0], level{fresh: true, modifies: true})
+// parseTokens reads the whole text.
+func (p *parseState) parseTokens() {
+	p.scopes = append(p.scopes[:0], scope{atStart: true, allowsModifying: true})
 	for {
-		t := g.t.next()
-		if t == "" {
+		token := p.tokens.next()
+		if token == "" {
 			break
 		}
-		g.token(t)
-		g.before, g.last = g.last, t
+		p.parseToken(token)
+		p.secondLastToken, p.lastToken = p.lastToken, token
 	}
-	g.settle()
+	p.countPendingAggregate()
 }
 
-func word(t string) bool { return t != "" && class[t[0]]&isLetter != 0 }
+func isWord(token string) bool { return token != "" && byteClass[token[0]]&classLetter != 0 }
 
-func name(t string) bool { return t != "" && (t[0] == '"' || class[t[0]]&isLetter != 0) }
+func isName(token string) bool {
+	return token != "" && (token[0] == '"' || byteClass[token[0]]&classLetter != 0)
+}
 
-// unquote is a name without its quotes.
-func unquote(t string) string {
-	if t != "" && t[0] == '"' {
-		return strings.ReplaceAll(strings.Trim(t, `"`), `""`, `"`)
+// unquote returns a name without its quotes.
+func unquote(token string) string {
+	if token != "" && token[0] == '"' {
+		return strings.ReplaceAll(strings.Trim(token, `"`), `""`, `"`)
 	}
-	return t
+	return token
 }
 
-// settle counts an aggregate that no OVER has followed.
-func (g *reading) settle() {
-	if g.pending {
-		g.pending = false
-		more(&g.info.Features.Aggregates)
+// countPendingAggregate counts an aggregate call that was not followed by OVER.
+func (p *parseState) countPendingAggregate() {
+	if p.pendingAggregate {
+		p.pendingAggregate = false
+		saturatingIncrement(&p.info.Features.Aggregates)
 	}
 }
 
-func (g *reading) token(t string) {
-	l := g.top()
-	if g.pending {
-		if t == "over" {
-			g.pending = false
+// parseToken reads one token of the text.
+func (p *parseState) parseToken(token string) {
+	s := p.currentScope()
+	if p.pendingAggregate {
+		if token == "over" {
+			p.pendingAggregate = false
 		} else {
-			g.settle()
+			p.countPendingAggregate()
 		}
 	}
 	switch {
-	case t == ";":
-		g.levels = append(g.levels[:0], level{fresh: true, modifies: true})
-	case t == "(" || t == "[" || t == "{":
-		g.open(l, t)
-	case t == ")" || t == "]" || t == "}":
-		if len(g.levels) > 1 {
-			g.pending = l.aggregate
-			g.levels = g.levels[:len(g.levels)-1]
-		}
-	case t[0] == markText:
-		g.block(t[1:] + g.t.rest())
-	case t[0] == markName:
-		g.doubt(NameHidden)
-		l.expect, l.schema, l.fresh = false, false, false
-	case t[0] == markRun:
-		if n := t[1] - '0'; n > g.info.Features.List {
-			g.info.Features.List = n
-		}
-	case name(t):
-		g.name(l, t)
-	case t == ",":
-		l.fresh = false
-		l.expect = l.clause == from || l.clause == on || l.clause == naming
-		l.target = l.clause == naming && l.statement != "check"
-		if l.clause == on {
-			l.clause = from
+	case token == ";":
+		p.scopes = append(p.scopes[:0], scope{atStart: true, allowsModifying: true})
+	case token == "(" || token == "[" || token == "{":
+		p.openBracket(s, token)
+	case token == ")" || token == "]" || token == "}":
+		if len(p.scopes) > 1 {
+			p.pendingAggregate = s.aggregateArguments
+			p.scopes = p.scopes[:len(p.scopes)-1]
+		}
+	case token[0] == markDoBody:
+		p.parseDoBody(token[1:] + p.tokens.rest())
+	case token[0] == markHiddenName:
+		p.setReason(NameHidden)
+		s.expectTable, s.expectSchema, s.atStart = false, false, false
+	case token[0] == markRepeat:
+		if n := token[1] - '0'; n > p.info.Features.ListBucket {
+			p.info.Features.ListBucket = n
+		}
+	case isName(token):
+		p.parseName(s, token)
+	case token == ",":
+		s.atStart = false
+		s.expectTable = s.clause == clauseFrom || s.clause == clauseJoinCondition || s.clause == clauseNameList
+		s.tableWritten = s.clause == clauseNameList && s.statement != "check"
+		if s.clause == clauseJoinCondition {
+			s.clause = clauseFrom
 		}
 	default:
-		if l.fresh && len(g.levels) == 1 { // no statement starts so
-			g.count++
-			g.kinds[Unknown] = true
+		if s.atStart && len(p.scopes) == 1 { // a statement cannot start with this token
+			p.statements++
+			p.kindsSeen[Unknown] = true
 		}
-		l.fresh, l.expect, l.schema = false, false, false
+		s.atStart, s.expectTable, s.expectSchema = false, false, false
 	}
 }
 
-func (g *reading) open(l *level, t string) {
-	n := level{fresh: true}
+// openBracket pushes the scope of an opening bracket.
+func (p *parseState) openBracket(s *scope, token string) {
+	inner := scope{atStart: true}
 	switch {
-	case t != "(":
-		n.fresh = false
-	case l.with && (g.last == "as" || g.last == "materialized"), g.last == "copy" && l.statement == "copy":
-		n.modifies = true
-	case l.expect && !l.target:
-		n.clause, n.expect = from, true
-	case l.plan && g.last == "explain":
-		n.statement = "explain" // its options
-		n.fresh = false
-	case name(g.last):
-		n.call = !folds(g.last)
-		n.aggregate = g.last[0] != '"' && g.before != "." && aggregate(strings.ToLower(g.last), g.d)
-		g.called()
-	}
-	if l.fresh && len(g.levels) == 1 { // (SELECT ...) UNION ...
-		g.count++
-		l.statement = "select"
-	}
-	l.expect, l.fresh = false, false
-	g.levels = append(g.levels, n)
+	case token != "(":
+		inner.atStart = false
+	case s.withList && (p.lastToken == "as" || p.lastToken == "materialized"),
+		p.lastToken == "copy" && s.statement == "copy":
+		inner.allowsModifying = true
+	case s.expectTable && !s.tableWritten:
+		inner.clause, inner.expectTable = clauseFrom, true
+	case s.planOnly && p.lastToken == "explain":
+		inner.statement = "explain" // the options of EXPLAIN
+		inner.atStart = false
+	case isName(p.lastToken):
+		inner.functionArguments = !neverFunction(p.lastToken)
+		inner.aggregateArguments = p.lastToken[0] != '"' && p.secondLastToken != "." &&
+			isAggregate(strings.ToLower(p.lastToken), p.dialect)
+		p.checkFunction()
+	}
+	if s.atStart && len(p.scopes) == 1 { // (SELECT ...) UNION ...
+		p.statements++
+		s.statement = "select"
+	}
+	s.expectTable, s.atStart = false, false
+	p.scopes = append(p.scopes, inner)
 }
 
-// folds tells whether a word ahead of a bracket is none of a function.
-func folds(w string) bool {
-	switch w {
-	case "in", "and", "or", "not", "values", "as", "on", "using", "where", "when", "then", "else", "any", "all", "some", "exists", "from",
-		"join", "select", "by", "over", "filter", "set", "returning", "having", "limit", "union", "except", "intersect", "with",
-		"materialized", "lateral", "distinct", "into":
+// neverFunction reports whether a word before an opening bracket is never a function name.
+func neverFunction(word string) bool {
+	switch word {
+	case "in", "and", "or", "not", "values", "as", "on", "using", "where", "when", "then", "else", "any", "all", "some", "exists",
+		"from", "join", "select", "by", "over", "filter", "set", "returning", "having", "limit", "union", "except", "intersect",
+		"with", "materialized", "lateral", "distinct", "into":
 		return true
 	}
 	return false
 }
 
-// called looks at the name of a function.
-func (g *reading) called() {
-	f := strings.ToLower(unquote(g.last))
-	if g.before == "." {
-		return // see qualified
+// checkFunction checks the unqualified function name before an opening bracket for side effects.
+func (p *parseState) checkFunction() {
+	function := strings.ToLower(unquote(p.lastToken))
+	if p.secondLastToken == "." {
+		return // checkDottedName handles qualified names
 	}
-	if effects[f] {
-		g.mark(Write)
-		g.doubt(Effects)
+	if functionsWithEffects[function] {
+		p.addKind(Write)
+		p.setReason(FunctionWithEffects)
 	}
 }
 
-// name takes a word or a quoted name.
-func (g *reading) name(l *level, t string) {
-	if g.last == "." && g.before != "" { // the rest of a dotted name that is no table's
-		l.fresh = false
+// parseName reads a word or a quoted name.
+func (p *parseState) parseName(s *scope, token string) {
+	if p.lastToken == "." && p.secondLastToken != "" { // the rest of a dotted name that is not a table
+		s.atStart = false
 		return
 	}
-	if l.expect {
-		if word(t) && g.keeps(l, t) {
+	if s.expectTable {
+		if isWord(token) && p.parseBeforeTable(s, token) {
 			return
 		}
-		l.expect = false
-		g.table(l, t)
+		s.expectTable = false
+		p.parseTable(s, token)
 		return
 	}
-	if l.schema {
-		switch t {
+	if s.expectSchema {
+		switch token {
 		case "if", "not", "exists":
 			return
 		}
-		l.schema = false
-		if n, ok := group(unquote(t)); ok {
-			g.touch(n, true, l)
+		s.expectSchema = false
+		if group, ok := schemaTableGroup(unquote(token)); ok {
+			p.addTableGroup(group, true, s)
 		}
 		return
 	}
-	if l.fresh {
-		l.fresh = false
-		if word(t) && g.starts(l, t) {
+	if s.atStart {
+		s.atStart = false
+		if isWord(token) && p.startStatement(s, token) {
 			return
 		}
 	}
-	if word(t) && g.word(l, t) {
+	if isWord(token) && p.parseWord(s, token) {
 		return
 	}
-	if g.t.peek() == "." {
-		g.dotted(t)
+	if p.tokens.peek() == "." {
+		p.checkDottedName(token)
 	}
 }
 
-// keeps tells whether a word may stand between that which expects a table and its name.
-func (g *reading) keeps(l *level, t string) bool {
-	switch t {
-	case "only", "lateral", "if", "not", "exists", "temporary", "temp", "unlogged", "global", "local", "concurrently", "verbose", "full",
-		"freeze", "nowait", "recursive":
-		return g.t.peek() != "."
+// parseBeforeTable reads a word where a table name is expected. It returns false if the word is the name itself, and true
+// if it is a modifier before the name or a keyword that shows that no name follows.
+func (p *parseState) parseBeforeTable(s *scope, token string) bool {
+	switch token {
+	case "only", "lateral", "if", "not", "exists", "temporary", "temp", "unlogged", "global", "local", "concurrently", "verbose",
+		"full", "freeze", "nowait", "recursive":
+		return p.tokens.peek() != "."
 	case "table", "tables", "function", "view":
-		if t == "function" {
-			g.doubt(Elsewhere)
+		if token == "function" {
+			p.setReason(RemoteTableFunction)
 		}
 		return true
 	case "select", "with", "values", "from":
-		l.expect = false
-		if l.fresh {
-			l.fresh = false
-			return g.starts(l, t)
-		}
-		return g.word(l, t)
-	case "outfile": // INTO OUTFILE is the client's own matter
-		l.expect, l.target = false, false
+		s.expectTable = false
+		if s.atStart {
+			s.atStart = false
+			return p.startStatement(s, token)
+		}
+		return p.parseWord(s, token)
+	case "outfile": // INTO OUTFILE is carried out by the client
+		s.expectTable, s.tableWritten = false, false
 		return true
 	case "cluster": // ON CLUSTER
-		l.expect, l.target = false, false
+		s.expectTable, s.tableWritten = false, false
 		return true
 	}
 	return false
 }
 
-// table takes the name of a table, dots and all.
-func (g *reading) table(l *level, t string) {
-	l.fresh = false
-	parts, n := [4]string{unquote(t)}, 1
-	for g.t.peek() == "." {
-		g.before, g.last = g.last, g.t.next()
-		p := g.t.peek()
-		if !name(p) {
+// parseTable reads the name of a table with its qualifiers.
+func (p *parseState) parseTable(s *scope, token string) {
+	s.atStart = false
+	parts, n := [4]string{unquote(token)}, 1
+	for p.tokens.peek() == "." {
+		p.secondLastToken, p.lastToken = p.lastToken, p.tokens.next()
+		part := p.tokens.peek()
+		if !isName(part) {
 			break
 		}
-		g.before, g.last = g.last, g.t.next()
+		p.secondLastToken, p.lastToken = p.lastToken, p.tokens.next()
 		if n < len(parts) {
-			parts[n] = unquote(p)
+			parts[n] = unquote(part)
 			n++
 		}
 	}
-	if l.target && l.statement == "select" || l.target && g.body && l.statement == "perform" {
-		g.mark(Write) // SELECT INTO
+	if s.tableWritten && s.statement == "select" || s.tableWritten && p.inDoBody && s.statement == "perform" {
+		p.addKind(Write) // SELECT INTO
 	}
-	call := g.t.peek() == "(" && !l.target && l.statement != "copy"
-	if call && n == 1 && g.d == ClickHouse && !local[strings.ToLower(parts[0])] {
-		g.doubt(Elsewhere)
+	call := p.tokens.peek() == "(" && !s.tableWritten && s.statement != "copy"
+	if call && n == 1 && p.dialect == ClickHouse && !localTableFunctions[strings.ToLower(parts[0])] {
+		p.setReason(RemoteTableFunction)
 	}
-	for _, p := range parts[:n-1] {
-		if x, ok := group(p); ok {
+	for _, part := range parts[:n-1] {
+		if group, ok := schemaTableGroup(part); ok {
 			if call {
-				g.doubt(ForeignCall)
+				p.setReason(SchemaFunction)
 			}
-			g.touch(x, l.target, l)
+			p.addTableGroup(group, s.tableWritten, s)
 			break
 		}
 	}
-	l.target = false
+	s.tableWritten = false
 }
 
-// local holds the table functions of ClickHouse that stay where they are.
-var local = set(`numbers zeros numbers_mt zeros_mt generaterandom generateseries generate_series values null view format input merge`)
+// localTableFunctions are the ClickHouse table functions that read nothing outside the server.
+var localTableFunctions = wordSet(
+	`numbers zeros numbers_mt zeros_mt generaterandom generateseries generate_series values null view format input merge`)
 
-// touch notes a table group.
-func (g *reading) touch(x string, written bool, l *level) {
-	if g.info.Group == "" {
-		g.info.Group = x
+// addTableGroup records that the statement reads or writes a table group.
+func (p *parseState) addTableGroup(group string, written bool, s *scope) {
+	if p.info.TableGroup == "" {
+		p.info.TableGroup = group
 	}
 	switch {
-	case g.levels[0].plan:
-	case len(g.info.Reads) >= mostGroups || len(g.info.Writes) >= mostGroups:
-		g.doubt(ManyGroups) // danger: a sorted set of all would take square time
-	case l.statement == "copy":
-		l.copied = x
+	case p.scopes[0].planOnly:
+	case len(p.info.Reads) >= maxTableGroups || len(p.info.Writes) >= maxTableGroups:
+		p.setReason(TooManyTableGroups) // danger: inserting all of them into a sorted set takes quadratic time
+	case s.statement == "copy":
+		s.copyTableGroup = group
 	case written:
-		g.info.Writes = insert(g.info.Writes, x)
+		p.info.Writes = insertSorted(p.info.Writes, group)
 	default:
-		g.info.Reads = insert(g.info.Reads, x)
+		p.info.Reads = insertSorted(p.info.Reads, group)
 	}
 }
 
-// dotted looks at a name with a dot behind it that is no table's: a column, an alias, a function of a schema.
-func (g *reading) dotted(t string) {
-	mark := g.t
-	g.t.next()
-	p := g.t.next()
-	call := g.t.peek() == "("
-	g.t = mark
-	if !name(p) {
+// checkDottedName checks a name followed by a dot that is not a table name: a column, an alias or a schema-qualified
+// function.
+func (p *parseState) checkDottedName(token string) {
+	saved := p.tokens
+	p.tokens.next()
+	part := p.tokens.next()
+	call := p.tokens.peek() == "("
+	p.tokens = saved
+	if !isName(part) {
 		return
 	}
-	s := unquote(t)
-	if x, ok := group(s); ok && g.other == "" {
-		g.other = x
+	qualifier := unquote(token)
+	if group, ok := schemaTableGroup(qualifier); ok && p.otherTableGroup == "" {
+		p.otherTableGroup = group
 	}
-	if call && s != "pg_catalog" && s != "information_schema" {
-		g.doubt(ForeignCall)
+	if call && qualifier != "pg_catalog" && qualifier != "information_schema" {
+		p.setReason(SchemaFunction)
 		return
 	}
-	if call && effects[strings.ToLower(unquote(p))] {
-		g.mark(Write)
-		g.doubt(Effects)
+	if call && functionsWithEffects[strings.ToLower(unquote(part))] {
+		p.addKind(Write)
+		p.setReason(FunctionWithEffects)
 	}
 }
 
-// starts takes the first word of a statement, or of a bracket. It says false where that starts none.
-func (g *reading) starts(l *level, t string) bool {
-	k, known := statementWords[t]
-	outer := len(g.levels) == 1
-	if !outer && !l.modifies { // in brackets only queries start
-		if !(t == "select" || t == "with" || t == "values" && g.t.peek() == "(" || t == "from" && g.d == ClickHouse) {
+// startStatement reads the first word of a statement or of a bracket. It returns false if the word does not start a
+// statement there.
+func (p *parseState) startStatement(s *scope, token string) bool {
+	kind, known := statementKinds[token]
+	topLevel := len(p.scopes) == 1
+	if !topLevel && !s.allowsModifying { // only queries may start in brackets
+		if !(token == "select" || token == "with" || token == "values" && p.tokens.peek() == "(" ||
+			token == "from" && p.dialect == ClickHouse) {
 			return false
 		}
 	}
-	if g.body && outer {
-		switch t {
+	if p.inDoBody && topLevel {
+		switch token {
 		case "begin", "declare", "then", "else", "loop", "exception":
-			l.fresh, l.statement = true, ""
+			s.atStart, s.statement = true, ""
 			return true
 		case "perform", "return", "if", "for", "while", "foreach", "end", "raise", "exit", "continue", "close", "open", "fetch":
-			k, known = Read, true
+			kind, known = Read, true
 		default:
 			if !known {
-				k, known = Control, true // an assignment
+				kind, known = Control, true // an assignment
 			}
 		}
 	}
-	if outer && !l.nested {
-		g.count++
-		if g.first == "" {
-			g.first = t
+	if topLevel && !s.nestedStatement {
+		p.statements++
+		if p.firstWord == "" {
+			p.firstWord = token
 		}
 	}
 	if !known {
-		g.kinds[Unknown] = true
-		g.doubt(UnknownWord)
-		l.statement = t
+		p.kindsSeen[Unknown] = true
+		p.setReason(UnknownWord)
+		s.statement = token
 		return true
 	}
-	l.statement = t
-	switch t {
+	s.statement = token
+	switch token {
 	case "with":
-		l.with = true
-		return true // what follows tells the kind
+		s.withList = true
+		return true // the statement that follows determines the kind
 	case "explain":
-		g.kinds[Control] = true
-		l.plan = true
+		p.kindsSeen[Control] = true
+		s.planOnly = true
 		return true
 	case "prepare":
-		if g.t.peek() == "transaction" {
+		if p.tokens.peek() == "transaction" {
 			break
 		}
-		k = Control
+		kind = Control
 	case "do", "call", "execute", "load":
-		g.doubt(Dynamic)
+		p.setReason(DynamicSQL)
 	case "update":
-		l.expect, l.target = true, true
+		s.expectTable, s.tableWritten = true, true
 	case "truncate", "vacuum", "analyze", "analyse", "cluster", "optimize", "check":
-		l.expect, l.target, l.clause = true, t != "check", naming
+		s.expectTable, s.tableWritten, s.clause = true, token != "check", clauseNameList
 	case "copy":
-		l.expect = true
-		k = Control // its direction tells
+		s.expectTable = true
+		kind = Control // FROM or TO determines the kind later
 	case "from":
-		l.expect, l.clause = true, from
+		s.expectTable, s.clause = true, clauseFrom
 	case "table":
-		l.expect, l.clause = true, from
+		s.expectTable, s.clause = true, clauseFrom
 	case "select", "perform":
-		l.clause = selecting
+		s.clause = clauseSelectList
 	}
-	if t == "do" {
-		k = Control // its text tells
+	if token == "do" {
+		kind = Control // the body determines the kind
 	}
-	g.mark(k)
+	p.addKind(kind)
 	return true
 }
 
-// word takes a word inside a statement. It says false for one that is but a name.
-func (g *reading) word(l *level, t string) bool {
-	f := &g.info.Features
-	if l.with && g.last != "with" && g.last != "recursive" && g.last != "," && g.last != "as" {
-		switch t {
+// parseWord reads a word inside a statement. It returns false if the word is an ordinary name.
+func (p *parseState) parseWord(s *scope, token string) bool {
+	features := &p.info.Features
+	if s.withList && p.lastToken != "with" && p.lastToken != "recursive" && p.lastToken != "," && p.lastToken != "as" {
+		switch token {
 		case "select", "insert", "update", "delete", "merge", "values", "table", "from":
-			if t != "from" || g.d == ClickHouse {
-				l.with = false
-				return g.main(l, t)
+			if token != "from" || p.dialect == ClickHouse {
+				s.withList = false
+				return p.startInnerStatement(s, token)
 			}
 		}
 	}
-	if l.plan && l.statement == "explain" && len(g.levels) == 1 { // words between EXPLAIN and its statement
-		if _, known := statementWords[t]; known && t != "analyze" && t != "analyse" {
-			return g.main(l, t)
+	if s.planOnly && s.statement == "explain" && len(p.scopes) == 1 { // a word between EXPLAIN and its statement
+		if _, known := statementKinds[token]; known && token != "analyze" && token != "analyse" {
+			return p.startInnerStatement(s, token)
 		}
-		if t == "analyze" || t == "analyse" {
-			l.plan = g.t.peek() == "false" || g.t.peek() == "off"
-			l.statement = "explain"
-			l.fresh = false
-			if !l.plan {
-				l.statement = "analyzed"
+		if token == "analyze" || token == "analyse" {
+			s.planOnly = p.tokens.peek() == "false" || p.tokens.peek() == "off"
+			s.statement = "explain"
+			s.atStart = false
+			if !s.planOnly {
+				s.statement = "analyzed"
 			}
 		}
 		return true
 	}
-	if l.statement == "analyzed" {
-		if _, known := statementWords[t]; known {
-			return g.main(l, t)
+	if s.statement == "analyzed" {
+		if _, known := statementKinds[token]; known {
+			return p.startInnerStatement(s, token)
 		}
 		return true
 	}
-	if l.statement == "explain" && len(g.levels) > 1 { // EXPLAIN (ANALYZE, ...)
-		if t == "analyze" || t == "analyse" {
-			if p := g.t.peek(); p != "false" && p != "off" { // a literal may say either
-				g.levels[len(g.levels)-2].plan = false
-				g.levels[len(g.levels)-2].statement = "analyzed"
+	if s.statement == "explain" && len(p.scopes) > 1 { // EXPLAIN (ANALYZE, ...)
+		if token == "analyze" || token == "analyse" {
+			if next := p.tokens.peek(); next != "false" && next != "off" { // a literal may be either value, so it counts as true
+				p.scopes[len(p.scopes)-2].planOnly = false
+				p.scopes[len(p.scopes)-2].statement = "analyzed"
 			}
 		}
 		return true
 	}
-	if g.body && len(g.levels) == 1 {
-		switch t {
+	if p.inDoBody && len(p.scopes) == 1 {
+		switch token {
 		case "begin", "then", "else", "loop", "exception":
-			*l = level{fresh: true, modifies: true}
+			*s = scope{atStart: true, allowsModifying: true}
 			return true
 		}
 	}
-	switch t {
+	switch token {
 	case "select":
-		l.clause = selecting
-		if l.statement == "" {
-			l.statement = "select"
+		s.clause = clauseSelectList
+		if s.statement == "" {
+			s.statement = "select"
 		}
-		g.mark(Read)
-		if g.last == "union" || g.last == "all" || g.last == "except" || g.last == "intersect" {
-			more(&f.Subqueries)
+		p.addKind(Read)
+		if p.lastToken == "union" || p.lastToken == "all" || p.lastToken == "except" || p.lastToken == "intersect" {
+			saturatingIncrement(&features.Subqueries)
 		}
-		if len(g.levels) > 1 {
-			more(&f.Subqueries)
+		if len(p.scopes) > 1 {
+			saturatingIncrement(&features.Subqueries)
 		}
 	case "from":
 		switch {
-		case l.call && l.statement == "", g.last == "distinct" && (g.before == "is" || g.before == "not"):
-		case l.statement == "copy":
-			g.mark(Write)
-			if l.copied != "" && !g.levels[0].plan {
-				g.info.Writes = insert(g.info.Writes, l.copied)
+		case s.functionArguments && s.statement == "",
+			p.lastToken == "distinct" && (p.secondLastToken == "is" || p.secondLastToken == "not"):
+		case s.statement == "copy":
+			p.addKind(Write)
+			if s.copyTableGroup != "" && !p.scopes[0].planOnly {
+				p.info.Writes = insertSorted(p.info.Writes, s.copyTableGroup)
 			}
-		case l.statement == "show", l.statement == "fetch", l.statement == "move", l.statement == "revoke":
+		case s.statement == "show", s.statement == "fetch", s.statement == "move", s.statement == "revoke":
 		default:
-			l.expect, l.clause = true, from
-			l.target = l.statement == "delete" && g.last == "delete"
+			s.expectTable, s.clause = true, clauseFrom
+			s.tableWritten = s.statement == "delete" && p.lastToken == "delete"
 		}
 	case "to":
-		switch l.statement {
+		switch s.statement {
 		case "copy":
-			g.mark(Read)
-			if l.copied != "" && !g.levels[0].plan {
-				g.info.Reads = insert(g.info.Reads, l.copied)
+			p.addKind(Read)
+			if s.copyTableGroup != "" && !p.scopes[0].planOnly {
+				p.info.Reads = insertSorted(p.info.Reads, s.copyTableGroup)
 			}
 		case "rename", "create":
-			l.expect, l.target, l.clause = l.statement == "rename" || g.d == ClickHouse, true, other
+			s.expectTable, s.tableWritten, s.clause = s.statement == "rename" || p.dialect == ClickHouse, true, clauseOther
 		}
 	case "program":
-		if l.statement == "copy" {
-			g.doubt(Dynamic)
+		if s.statement == "copy" {
+			p.setReason(DynamicSQL)
 		}
 	case "join":
-		if g.last != "array" {
-			more(&f.Joins)
-			l.expect, l.target, l.clause = true, false, from
+		if p.lastToken != "array" {
+			saturatingIncrement(&features.Joins)
+			s.expectTable, s.tableWritten, s.clause = true, false, clauseFrom
 		} else {
-			l.clause = other
+			s.clause = clauseOther
 		}
 	case "into":
-		if (l.statement == "insert" || l.statement == "merge" || l.statement == "replace") && l.clause == other {
-			l.expect, l.target = true, true
-		} else if l.statement == "select" && !g.body {
-			l.expect, l.target = true, true
+		if (s.statement == "insert" || s.statement == "merge" || s.statement == "replace") && s.clause == clauseOther {
+			s.expectTable, s.tableWritten = true, true
+		} else if s.statement == "select" && !p.inDoBody {
+			s.expectTable, s.tableWritten = true, true
 		}
 	case "using":
-		l.expect = l.statement == "delete" || l.statement == "merge" || l.clause == from
-		l.target = false
+		s.expectTable = s.statement == "delete" || s.statement == "merge" || s.clause == clauseFrom
+		s.tableWritten = false
 	case "on":
-		if l.clause == from {
-			l.clause = on
+		if s.clause == clauseFrom {
+			s.clause = clauseJoinCondition
 			return true
 		}
-		switch l.statement {
+		switch s.statement {
 		case "create", "comment", "grant", "revoke", "drop", "alter":
-			l.expect, l.target = true, true
+			s.expectTable, s.tableWritten = true, true
 		}
 	case "table", "tables", "view", "sequence", "index", "dictionary":
-		switch l.statement {
+		switch s.statement {
 		case "create", "drop", "alter", "rename", "exchange", "refresh", "attach", "detach", "undrop", "reindex":
-			if g.last != "if" && l.clause == other {
-				l.expect, l.target, l.clause = true, true, naming
+			if p.lastToken != "if" && s.clause == clauseOther {
+				s.expectTable, s.tableWritten, s.clause = true, true, clauseNameList
 			}
 		}
 	case "schema", "database":
-		switch l.statement {
+		switch s.statement {
 		case "create", "drop", "alter":
-			l.schema = true
+			s.expectSchema = true
 		}
 	case "and":
-		if l.statement == "exchange" {
-			l.expect, l.target = true, true
+		if s.statement == "exchange" {
+			s.expectTable, s.tableWritten = true, true
 		}
 	case "as":
-		switch l.statement {
+		switch s.statement {
 		case "prepare":
-			l.fresh, l.nested = true, true
+			s.atStart, s.nestedStatement = true, true
 		case "create":
-			l.expect, l.target, l.clause = g.t.peek() != "?", false, other
+			s.expectTable, s.tableWritten, s.clause = p.tokens.peek() != "?", false, clauseOther
 		}
 	case "for":
-		if l.statement == "declare" {
-			l.fresh, l.nested = true, true
+		if s.statement == "declare" {
+			s.atStart, s.nestedStatement = true, true
 		}
 	case "update", "share":
-		if g.last == "for" || g.last == "key" {
-			g.lock()
+		if p.lastToken == "for" || p.lastToken == "key" {
+			p.addRowLocks()
 		}
 	case "replace":
-		return l.statement == "create"
+		return s.statement == "create"
 	case "where", "prewhere":
-		f.Filtered = true
-		l.clause = other
+		features.Filtered = true
+		s.clause = clauseOther
 	case "group":
-		if g.t.peek() == "by" {
-			f.Grouped = true
-			l.clause = other
+		if p.tokens.peek() == "by" {
+			features.Grouped = true
+			s.clause = clauseOther
 		}
 	case "order":
-		if g.t.peek() == "by" {
-			f.Sorted = true
-			l.clause = other
+		if p.tokens.peek() == "by" {
+			features.Sorted = true
+			s.clause = clauseOther
 		}
 	case "limit", "top", "fetch":
-		f.Limited = f.Limited || t != "top" || g.last == "select"
-		if t != "top" {
-			l.clause = other
+		features.Limited = features.Limited || token != "top" || p.lastToken == "select"
+		if token != "top" {
+			s.clause = clauseOther
 		}
 	case "distinct":
-		f.Distinct = true
-	case "set", "having", "values", "returning", "union", "except", "intersect", "window", "settings", "offset", "qualify", "when":
-		l.clause = other
+		features.Distinct = true
+	case "set", "having", "values", "returning", "union", "except", "intersect", "window", "settings", "offset", "qualify",
+		"when":
+		s.clause = clauseOther
 	default:
-		if l.clause == naming {
-			l.clause = other
+		if s.clause == clauseNameList {
+			s.clause = clauseOther
 		}
 		return false
 	}
 	return true
 }
 
-// main starts the statement behind WITH or EXPLAIN.
-func (g *reading) main(l *level, t string) bool {
-	l.nested = true
-	return g.starts(l, t)
+// startInnerStatement starts the statement that follows WITH or EXPLAIN.
+func (p *parseState) startInnerStatement(s *scope, token string) bool {
+	s.nestedStatement = true
+	return p.startStatement(s, token)
 }
 
-// lock makes what a query reads also written.
-func (g *reading) lock() {
-	if !g.levels[0].plan {
-		g.locks = true
-		g.mark(Write)
+// addRowLocks records a row lock, which makes the tables that a query reads count as written.
+func (p *parseState) addRowLocks() {
+	if !p.scopes[0].planOnly {
+		p.locksRows = true
+		p.addKind(Write)
 	}
 }
 
-// block reads the text behind DO: its string is a text of statements of its own.
-func (g *reading) block(raw string) {
-	g.kinds[Unknown] = true
-	g.info.Doubt = Body
-	text, ok := bodyText(raw)
+// parseDoBody reads the rest of a DO statement, whose string holds statements.
+func (p *parseState) parseDoBody(raw string) {
+	p.kindsSeen[Unknown] = true
+	p.info.Reason = DoBody
+	text, ok := doBodyText(raw)
 	if !ok {
-		g.info.Doubt = Malformed
+		p.info.Reason = Malformed
 		return
 	}
-	canon, fault := g.inner.make(text, Postgres)
-	if fault != Whole {
-		g.info.Doubt = Malformed
+	canonical, lexErr := p.doBodyNormalizer.normalize(text, Postgres)
+	if lexErr != NoLexError {
+		p.info.Reason = Malformed
 		return
 	}
-	levels := g.levels
-	in := &reading{reader: &reader{}, t: tokens{s: string(canon), i: 1}, d: Postgres, info: g.info, body: true, first: "do"}
-	in.run()
-	g.levels = levels
-	g.kinds[Write] = g.kinds[Write] || in.kinds[Write]
-	g.locks = g.locks || in.locks
-	if g.other == "" {
-		g.other = in.other
-	}
-	g.info.Doubt = Body
+	outerScopes := p.scopes
+	body := &parseState{parser: &parser{}, tokens: tokenReader{text: string(canonical), pos: 1}, dialect: Postgres,
+		info: p.info, inDoBody: true, firstWord: "do"}
+	body.parseTokens()
+	p.scopes = outerScopes
+	p.kindsSeen[Write] = p.kindsSeen[Write] || body.kindsSeen[Write]
+	p.locksRows = p.locksRows || body.locksRows
+	if p.otherTableGroup == "" {
+		p.otherTableGroup = body.otherTableGroup
+	}
+	p.info.Reason = DoBody
 }
 
-// bodyText is the string of a DO statement, whatever its quotes.
-func bodyText(raw string) (string, bool) {
+// doBodyText returns the contents of the string of a DO statement, which may be quoted in any style.
+func doBodyText(raw string) (string, bool) {
 	for raw != "" {
 		c := raw[0]
 		switch {
-		case class[c]&isSpace != 0:
+		case byteClass[c]&classSpace != 0:
 			raw = raw[1:]
 		case strings.HasPrefix(raw, "--"):
 			i := strings.IndexByte(raw, '\n')
@@ -739,33 +755,33 @@
 			}
 			raw = raw[i+1:]
 		case strings.HasPrefix(raw, "/*"):
-			n := comment(raw, true)
+			n := commentLength(raw, true)
 			if n == 0 {
 				return "", false
 			}
 			raw = raw[n:]
 		case c == '$':
-			n, whole := dollar(raw)
-			if n == 0 || !whole {
+			n, terminated := dollarQuotedLength(raw)
+			if n == 0 || !terminated {
 				return "", false
 			}
 			tag := strings.IndexByte(raw[1:], '$') + 2
 			return raw[tag : n-tag], true
 		case c == '\'':
-			n := quoted(raw, false)
+			n := quotedLength(raw, false)
 			if n == 0 {
 				return "", false
 			}
 			return strings.ReplaceAll(raw[1:n-1], "''", "'"), true
 		case (c == 'e' || c == 'E') && len(raw) > 1 && raw[1] == '\'':
-			n := quoted(raw[1:], true)
-			if n == 0 || slices.Contains([]byte(raw[2:n]), '\\') { // its escapes may spell anything
+			n := quotedLength(raw[1:], true)
+			if n == 0 || slices.Contains([]byte(raw[2:n]), '\\') { // escape sequences may hide any statement
 				return "", false
 			}
 			return strings.ReplaceAll(raw[2:n], "''", "'"), true
-		case class[c]&isLetter != 0: // LANGUAGE name
+		case byteClass[c]&classLetter != 0: // LANGUAGE name
 			i := 1
-			for i < len(raw) && class[raw[i]]&(isLetter|isDigit) != 0 {
+			for i < len(raw) && byteClass[raw[i]]&(classLetter|classDigit) != 0 {
 				i++
 			}
 			raw = raw[i:]
--- a/internal/shape/text.go
+++ b/internal/shape/text.go
@@ -2,50 +2,51 @@
 
 import "strings"
 
-// A place is a part of a text.
-type Place struct{ From, To int }
+// Span is a half-open byte range of a text.
+type Span struct{ Start, End int }
 
-// walk calls f with each token of a ClickHouse text that is no literal or comment: its place, and the depth of brackets.
-// It ends where the text can't be cut, or where f says so.
-func walk(s string, f func(from, to, depth int) (on bool)) {
+// scanTokens calls visit with the byte range and the bracket depth of each token of a ClickHouse text, apart from strings and
+// comments. It stops where the text can't be split into tokens, or when visit returns false.
+func scanTokens(s string, visit func(from, to, depth int) (more bool)) {
 	depth := 0
 	for i := 0; i < len(s); {
 		c, n := s[i], 1
 		switch {
-		case class[c]&isSpace != 0:
+		case byteClass[c]&classSpace != 0:
 			i++
 			continue
 		case c == '\'' || c == '"' || c == '`':
-			if n = quoted(s[i:], true); n == 0 {
+			if n = quotedLength(s[i:], true); n == 0 {
 				return
 			}
 			if c == '\'' {
 				i += n
 				continue
 			}
-		case c == '-' && strings.HasPrefix(s[i:], "--"), c == '#' && (strings.HasPrefix(s[i:], "# ") || strings.HasPrefix(s[i:], "#!")):
+		case c == '-' && strings.HasPrefix(s[i:], "--"),
+			c == '#' && (strings.HasPrefix(s[i:], "# ") || strings.HasPrefix(s[i:], "#!")):
 			if n = strings.IndexByte(s[i:], '\n'); n < 0 {
 				return
 			}
 			i += n + 1
 			continue
 		case strings.HasPrefix(s[i:], "/*"):
-			if n = comment(s[i:], false); n == 0 {
+			if n = commentLength(s[i:], false); n == 0 {
 				return
 			}
 			i += n
 			continue
 		case c == '$':
-			if k, whole := dollar(s[i:]); k > 0 {
-				if !whole {
+			if length, terminated := dollarQuotedLength(s[i:]); length > 0 {
+				if !terminated {
 					return
 				}
-				i += k
+				i += length
 				continue
 			}
 		case c == '{':
-			if k, _ := parameter(s[i:]); k > 0 {
-				n = k
+			if length, _ := parameterLength(s[i:]); length > 0 {
+				n = length
 			} else {
 				depth++
 			}
@@ -53,75 +54,76 @@
 			depth++
 		case c == ')' || c == ']' || c == '}':
 			depth--
-		case class[c]&isLetter != 0:
-			for i+n < len(s) && class[s[i+n]]&(isLetter|isDigit) != 0 {
+		case byteClass[c]&classLetter != 0:
+			for i+n < len(s) && byteClass[s[i+n]]&(classLetter|classDigit) != 0 {
 				n++
 			}
-		case class[c]&isDigit != 0:
-			n = number(s[i:])
+		case byteClass[c]&classDigit != 0:
+			n = numberLength(s[i:])
 		}
-		if !f(i, i+n, depth) {
+		if !visit(i, i+n, depth) {
 			return
 		}
 		i += n
 	}
 }
 
-// Parameters puts values in place of the {name:Type} of a ClickHouse text, those in strings and comments aside. value
-// gives the text for each, which stands as it is: it has to be a literal or a quoted name.
-func Parameters(s string, value func(name, typ string) (string, error)) (string, error) {
+// SubstituteParameters replaces the parameters {name:Type} of a ClickHouse text outside strings and comments. value returns
+// the text for each, which is inserted unchanged, so it must be a literal or a quoted name.
+func SubstituteParameters(text string, value func(name, typ string) (string, error)) (string, error) {
 	var b strings.Builder
 	last := 0
-	var fault error
-	walk(s, func(from, to, _ int) bool {
-		if s[from] != '{' || to-from < 3 {
+	var valueErr error
+	scanTokens(text, func(from, to, _ int) bool {
+		if text[from] != '{' || to-from < 3 {
 			return true
 		}
-		name, typ, _ := strings.Cut(s[from+1:to-1], ":")
-		v, err := value(strings.TrimSpace(name), strings.TrimSpace(typ))
+		name, typ, _ := strings.Cut(text[from+1:to-1], ":")
+		replacement, err := value(strings.TrimSpace(name), strings.TrimSpace(typ))
 		if err != nil {
-			fault = err
+			valueErr = err
 			return false
 		}
-		b.WriteString(s[last:from])
-		b.WriteString(v)
+		b.WriteString(text[last:from])
+		b.WriteString(replacement)
 		last = to
 		return true
 	})
-	if fault != nil {
-		return "", fault
+	if valueErr != nil {
+		return "", valueErr
 	}
-	b.WriteString(s[last:])
+	b.WriteString(text[last:])
 	return b.String(), nil
 }
 
-// FormatClause finds FORMAT name at the end of a ClickHouse query, outside brackets: the name, and where the clause
-// stands. Of an INSERT, where the clause speaks of the data, there is none.
-func FormatClause(s string) (name string, at Place, ok bool) {
-	var word, insert, closed bool // the last token was FORMAT; the statement is an INSERT; what follows can't undo the clause
+// FindFormatClause finds the clause FORMAT name at the end of a ClickHouse query, outside brackets, and returns the name and
+// the span of the clause. An INSERT has none, since its clause describes the data that follows.
+func FindFormatClause(text string) (name string, span Span, ok bool) {
+	// The last token was FORMAT; the statement is an INSERT; later tokens can't invalidate the clause.
+	var afterFormat, isInsert, complete bool
 	first, last := true, ""
-	walk(s, func(from, to, depth int) bool {
-		t := s[from:to]
+	scanTokens(text, func(from, to, depth int) bool {
+		token := text[from:to]
 		if first {
 			first = false
-			insert = strings.EqualFold(t, "insert")
+			isInsert = strings.EqualFold(token, "insert")
 		}
 		switch {
-		case insert:
+		case isInsert:
 			return false
-		case word:
-			if word = false; class[t[0]]&isLetter != 0 {
-				name, at.To, ok = t, to, true
+		case afterFormat:
+			if afterFormat = false; byteClass[token[0]]&classLetter != 0 {
+				name, span.End, ok = token, to, true
 			}
-		case ok && !closed: // only settings or the end may follow; anything else shows that it was a name
-			closed = true
-			ok = t == ";" || strings.EqualFold(t, "settings")
-			closed = ok
-		case depth == 0 && len(t) == 6 && strings.EqualFold(t, "format") && last != "." && !strings.EqualFold(last, "as"):
-			word, at.From = true, from
+		case ok && !complete: // only SETTINGS or the end may follow; otherwise FORMAT was a name
+			complete = true
+			ok = token == ";" || strings.EqualFold(token, "settings")
+			complete = ok
+		case depth == 0 && len(token) == 6 && strings.EqualFold(token, "format") && last != "." && !strings.EqualFold(last, "as"):
+			afterFormat, span.Start = true, from
 		}
-		last = t
+		last = token
 		return true
 	})
-	return name, at, ok
+	return name, span, ok
 }
--- a/internal/shape/words.go
+++ b/internal/shape/words.go
@@ -2,7 +2,8 @@
 
 import "strings"
 
-func set(words string) map[string]bool {
+// wordSet returns the set of the words of a text.
+func wordSet(words string) map[string]bool {
 	m := map[string]bool{}
 	for _, w := range strings.Fields(words) {
 		m[w] = true
@@ -10,14 +11,16 @@
 	return m
 }
 
-// before holds the words behind which a value starts: a sign there belongs to a number, and a question mark is a
+// wordsBeforeValue are the words after which a value starts. A sign after one belongs to a number, and a question mark is a
 // parameter.
-var before = set(`select distinct all any some where and or not xor in between like ilike similar is when then else case
+var wordsBeforeValue = wordSet(
+	`select distinct all any some where and or not xor in between like ilike similar is when then else case
 	on having by limit offset fetch values set returning return from join using with as union intersect except
 	interval array if elseif elsif prewhere qualify settings sample escape top to mod div global asof default`)
 
-// aggregates are functions that make one row of many. Those of ClickHouse may carry the suffix of a combinator.
-var aggregates = set(`count sum avg min max string_agg array_agg json_agg jsonb_agg json_object_agg jsonb_object_agg xmlagg
+// aggregateFunctions are the aggregate functions of both dialects. In ClickHouse a combinator suffix may follow the name.
+var aggregateFunctions = wordSet(
+	`count sum avg min max string_agg array_agg json_agg jsonb_agg json_object_agg jsonb_object_agg xmlagg
 	bool_and bool_or every bit_and bit_or bit_xor stddev stddev_pop stddev_samp variance var_pop var_samp covar_pop
 	covar_samp corr regr_slope regr_intercept regr_r2 regr_count percentile_cont percentile_disc mode any_value
 	range_agg any anylast anyheavy argmin argmax uniq uniqexact uniqcombined uniqcombined64 uniqhll12 uniqthetasketch
@@ -27,17 +30,19 @@
 	varpop varsamp covarpop covarsamp entropy skewpop skewsamp kurtpop kurtsamp simplelinearregression retention
 	windowfunnel sequencematch sequencecount deltasum first_value_agg last_value_agg sumkahan boundingratio`)
 
-// combinators are what ClickHouse lets follow the name of an aggregate.
-var combinators = []string{"if", "array", "distinct", "ornull", "ordefault", "state", "merge", "resample", "map", "foreach"}
+// aggregateCombinators are the suffixes that ClickHouse allows after the name of an aggregate function.
+var aggregateCombinators = []string{"if", "array", "distinct", "ornull", "ordefault", "state", "merge", "resample", "map",
+	"foreach"}
 
-func aggregate(name string, d Dialect) bool {
-	if aggregates[name] {
-		// any and every are also words of PostgreSQL's own: = ANY (...)
-		return d == ClickHouse || name != "any"
+// isAggregate reports whether a function name, in lower case, is that of an aggregate function.
+func isAggregate(name string, dialect Dialect) bool {
+	if aggregateFunctions[name] {
+		// in PostgreSQL, any is also the operator of = ANY (...)
+		return dialect == ClickHouse || name != "any"
 	}
-	if d == ClickHouse {
-		for _, c := range combinators {
-			if base, ok := strings.CutSuffix(name, c); ok && aggregates[base] {
+	if dialect == ClickHouse {
+		for _, combinator := range aggregateCombinators {
+			if base, ok := strings.CutSuffix(name, combinator); ok && aggregateFunctions[base] {
 				return true
 			}
 		}
@@ -45,8 +50,9 @@
 	return false
 }
 
-// effects are functions that change something, or may run any text.
-var effects = set(`nextval setval lo_import lo_export lo_create lo_creat lo_unlink lo_put lo_from_bytea lowrite lo_write
+// functionsWithEffects are functions that have side effects or may run any statement.
+var functionsWithEffects = wordSet(
+	`nextval setval lo_import lo_export lo_create lo_creat lo_unlink lo_put lo_from_bytea lowrite lo_write
 	lo_truncate dblink dblink_exec dblink_send_query query_to_xml query_to_xmlschema query_to_xml_and_xmlschema
 	cursor_to_xml pg_notify pg_terminate_backend pg_cancel_backend pg_reload_conf pg_rotate_logfile pg_switch_wal
 	pg_create_restore_point pg_advisory_lock pg_advisory_xact_lock pg_try_advisory_lock pg_try_advisory_xact_lock
@@ -54,8 +60,8 @@
 	pg_create_physical_replication_slot pg_create_logical_replication_slot pg_drop_replication_slot txid_current
 	pg_current_xact_id`)
 
-// statementWords start a statement: what each one makes of it.
-var statementWords = map[string]Kind{
+// statementKinds maps the words that start a statement to its kind.
+var statementKinds = map[string]Kind{
 	"select": Read, "table": Read, "values": Read, "with": Read, "from": Read, "fetch": Control, "move": Control, "check": Read,
 	"insert": Write, "update": Write, "delete": Write, "merge": Write, "replace": Write, "truncate": Write, "copy": Write,
 	"create": Write, "drop": Write, "alter": Write, "comment": Write, "grant": Write, "revoke": Write, "reindex": Write,
@@ -69,22 +75,24 @@
 	"do": Unknown, "call": Unknown, "execute": Unknown, "load": Unknown,
 }
 
-// folded are all words that ClickHouse reads in any case and on which something here rests.
-var folded = map[string]bool{}
+// caseInsensitiveWords are the words of ClickHouse that are valid in any case and that the normalizer or the parser compares.
+var caseInsensitiveWords = map[string]bool{}
 
 func init() {
-	for _, m := range []map[string]bool{before, set(`group order partition over final format into outfile ttl populate view
+	for _, m := range []map[string]bool{wordsBeforeValue, wordSet(
+		`group order partition over final format into outfile ttl populate view
 		materialized temporary temp dictionary database cluster function dual exists no nothing do conflict for share nulls
 		first last asc desc end cross inner left right full outer semi anti lateral natural only if ilike totals rollup cube
 		true false null count sum avg min max ascending descending key current row rows range window recursive settings
 		transaction work tables schema sequence returning verbose modify column index projection constraint add clear freeze move fetch engine primary`)} {
 		for w := range m {
-			folded[w] = true
+			caseInsensitiveWords[w] = true
 		}
 	}
-	for w := range statementWords {
-		folded[w] = true
+	for w := range statementKinds {
+		caseInsensitiveWords[w] = true
 	}
 }
 
-func keyword(w []byte) bool { return folded[string(w)] }
+// isCaseInsensitive reports whether a word, in lower case, is in caseInsensitiveWords.
+func isCaseInsensitive(word []byte) bool { return caseInsensitiveWords[string(word)] }
