--- a/cmd/thymectl/main.go
+++ b/cmd/thymectl/main.go
@@ -1,5 +1,5 @@
-// Command thymectl is the operators' tool: it looks at what the coordinator knows and does, off line. What is heavy is
-// here and not in the coordinator.
+// Command thymectl is the operators' offline tool. It analyses statements and the files that the coordinator writes, in a
+// process of its own, so that expensive work does not slow the coordinator down.
 package main
 
 import (
@@ -10,12 +10,13 @@
 	"github.com/alecthomas/kong"
 )
 
-// streams are what a command reads and writes.
+// streams holds the input and output of a command.
 type streams struct {
 	in  io.Reader
 	out io.Writer
 }
 
+// commands is the command line, as kong parses it.
 type commands struct {
 	Shapes struct {
 		Explain explain `cmd:"" help:"Read JSON lines with text and dialect, and tell for each what its statement is taken for."`
@@ -26,20 +27,22 @@
 
 func main() { os.Exit(run(os.Args[1:], streams{os.Stdin, os.Stdout}, os.Stderr)) }
 
-func run(args []string, s streams, errs io.Writer) int {
-	var line commands
-	p, err := kong.New(&line, kong.Name("thymectl"), kong.Writers(s.out, errs), kong.Description("The operators' tool of thymeway."))
+// run executes a command line and returns the exit code.
+func run(args []string, s streams, stderr io.Writer) int {
+	var commandLine commands
+	parser, err := kong.New(&commandLine, kong.Name("thymectl"), kong.Writers(s.out, stderr),
+		kong.Description("The operators' tool of thymeway."))
 	if err != nil {
-		fmt.Fprintln(errs, "thymectl:", err)
+		fmt.Fprintln(stderr, "thymectl:", err)
 		return 1
 	}
-	ctx, err := p.Parse(args)
+	ctx, err := parser.Parse(args)
 	if err != nil {
-		fmt.Fprintf(errs, "thymectl: %v; see thymectl --help\n", err)
+		fmt.Fprintf(stderr, "thymectl: %v; see thymectl --help\n", err)
 		return 2
 	}
 	if err := ctx.Run(s); err != nil {
-		fmt.Fprintln(errs, "thymectl:", err)
+		fmt.Fprintln(stderr, "thymectl:", err)
 		return 1
 	}
 	return 0
--- a/cmd/thymectl/shapes.go
+++ b/cmd/thymectl/shapes.go
@@ -15,18 +15,18 @@
 	"thymeway/internal/snapshot"
 )
 
-// statement is a line of input. What goes beyond text and dialect serves replay.
+// statement is a line of input. Only replay uses the fields after Dialect.
 type statement struct {
 	Text    *string `json:"text"`
 	Dialect string  `json:"dialect"`
 	Tenant  string  `json:"tenant"`
-	Told    float64 `json:"told"` // ms, the estimate that came with it
-	Work    float64 `json:"work"` // ms, what it took
-	Mem     float64 `json:"mem"`  // MB
+	Told    float64 `json:"told"` // the client's estimate, ms of CPU time
+	Work    float64 `json:"work"` // actual CPU time in ms
+	Mem     float64 `json:"mem"`  // peak memory in MB
 }
 
-// explained is a line of output.
-type explained struct {
+// explainedStatement is a line of explain's output.
+type explainedStatement struct {
 	Kind    string   `json:"kind"`
 	Reads   []string `json:"reads"`
 	Writes  []string `json:"writes"`
@@ -35,31 +35,31 @@
 	Reason  string   `json:"reason"`
 }
 
-// parse reads a line. Its fault is a reason in words.
-func parse(line []byte) (s statement, d shape.Dialect, fault string) {
+// parseLine decodes a line of input. fault describes what is wrong with the line; it is empty if the line is valid.
+func parseLine(line []byte) (s statement, dialect shape.Dialect, fault string) {
 	if err := json.Unmarshal(line, &s); err != nil {
-		return s, d, "bad line: " + err.Error()
+		return s, dialect, "bad line: " + err.Error()
 	}
 	if s.Text == nil {
-		return s, d, "bad line: no text"
+		return s, dialect, "bad line: no text"
 	}
 	switch s.Dialect {
 	case "postgres", "":
 	case "clickhouse":
-		d = shape.ClickHouse
+		dialect = shape.ClickHouse
 	default:
-		return s, d, fmt.Sprintf("bad line: dialect %.40q is neither postgres nor clickhouse", s.Dialect)
+		return s, dialect, fmt.Sprintf("bad line: dialect %.40q is neither postgres nor clickhouse", s.Dialect)
 	}
-	return s, d, ""
+	return s, dialect, ""
 }
 
-// lines calls f for each line that is not blank, however long.
-func lines(r io.Reader, f func([]byte) error) error {
+// forEachLine calls f for each line that is not blank, without a limit on its length. It stops at the first error.
+func forEachLine(r io.Reader, f func([]byte) error) error {
 	b := bufio.NewReaderSize(r, 1<<16)
 	for {
 		line, err := b.ReadBytes('\n')
-		if t := bytes.TrimSpace(line); len(t) > 0 {
-			if err := f(t); err != nil {
+		if trimmed := bytes.TrimSpace(line); len(trimmed) > 0 {
+			if err := f(trimmed); err != nil {
 				return err
 			}
 		}
@@ -72,20 +72,21 @@
 	}
 }
 
+// explain is the command that classifies statements.
 type explain struct{}
 
-// Run is the command.
+// Run reads statements from the input and writes an explainedStatement for each line.
 func (explain) Run(s streams) error {
 	book := shape.NewCatalog(shape.Options{MaxBytes: 8 << 20})
 	w := bufio.NewWriter(s.out)
-	e := json.NewEncoder(w)
-	e.SetEscapeHTML(false)
-	err := lines(s.in, func(line []byte) error {
-		x, d, fault := parse(line)
+	encoder := json.NewEncoder(w)
+	encoder.SetEscapeHTML(false)
+	err := forEachLine(s.in, func(line []byte) error {
+		input, dialect, fault := parseLine(line)
 		if fault != "" {
-			return e.Encode(explained{shape.Unknown.String(), []string{}, []string{}, "", "default", fault})
+			return encoder.Encode(explainedStatement{shape.Unknown.String(), []string{}, []string{}, "", "default", fault})
 		}
-		return e.Encode(explanation(book.Recognise(*x.Text, d, 0)))
+		return encoder.Encode(explainShape(book.Recognise(*input.Text, dialect, 0)))
 	})
 	if err != nil {
 		return err
@@ -93,31 +94,34 @@
 	return w.Flush()
 }
 
-func explanation(s *shape.Shape) explained {
-	x := explained{Kind: s.Kind.String(), Reads: append([]string{}, s.Reads...), Writes: append([]string{}, s.Writes...), Shape: s.Name(),
+// explainShape returns the output line for the shape of a statement.
+func explainShape(s *shape.Shape) explainedStatement {
+	result := explainedStatement{Kind: s.Kind.String(), Reads: append([]string{}, s.Reads...),
+		Writes: append([]string{}, s.Writes...), Shape: s.Name(),
 		Verdict: "known", Reason: "recognised"}
-	if d := shape.CheckRole(shape.AnyRole, &s.Info); d != shape.NoReason {
-		x.Verdict, x.Reason = "default", d.String()
+	if doubt := shape.CheckRole(shape.AnyRole, &s.Info); doubt != shape.NoReason {
+		result.Verdict, result.Reason = "default", doubt.String()
 	}
-	return x
+	return result
 }
 
+// replay is the command that runs recorded statements through the shape cache.
 type replay struct {
 	File     string `arg:"" help:"JSON lines with text and dialect, and tenant, told, work and mem where known."`
 	MemoryKB int    `name:"memory-kb" default:"1024" help:"Memory for shapes."`
 	Most     int    `default:"20" help:"Shapes to list, the dearest first."`
 }
 
-// tally is what a replay saw of a shape.
-type tally struct {
-	s     *shape.Shape
-	n     int
-	work  float64
-	price shape.Cost
-	text  string
+// shapeStats holds the statistics of one shape.
+type shapeStats struct {
+	shape  *shape.Shape
+	count  int
+	workMs float64
+	price  shape.Cost
+	text   string
 }
 
-// Run is the command.
+// Run reads the file and prints the statistics of the cache, the estimates and the most expensive shapes.
 func (r replay) Run(s streams) error {
 	f, err := os.Open(r.File)
 	if err != nil {
@@ -125,58 +129,58 @@
 	}
 	defer f.Close()
 	book := shape.NewCatalog(shape.Options{MaxBytes: r.MemoryKB << 10})
-	owners, seen, bad := map[string]int{}, map[uint64]*tally{}, 0
+	owners, byShape, badLines := map[string]int{}, map[uint64]*shapeStats{}, 0
 	doubts := map[shape.Reason]int{}
-	var took time.Duration
-	err = lines(f, func(line []byte) error {
-		x, d, fault := parse(line)
+	var elapsed time.Duration
+	err = forEachLine(f, func(line []byte) error {
+		input, dialect, fault := parseLine(line)
 		if fault != "" {
-			bad++
+			badLines++
 			return nil
 		}
-		owner, ok := owners[x.Tenant]
+		owner, ok := owners[input.Tenant]
 		if !ok {
 			owner = len(owners)
-			owners[x.Tenant] = owner
+			owners[input.Tenant] = owner
 		}
-		from := time.Now()
-		sh := book.Recognise(*x.Text, d, owner)
-		took += time.Since(from)
-		if sh.Reason != shape.NoReason {
-			doubts[sh.Reason]++
+		start := time.Now()
+		found := book.Recognise(*input.Text, dialect, owner)
+		elapsed += time.Since(start)
+		if found.Reason != shape.NoReason {
+			doubts[found.Reason]++
 		}
-		t := seen[sh.ID]
-		if t == nil {
-			t = &tally{s: sh, text: sh.Text()}
-			seen[sh.ID] = t
+		known := byShape[found.ID]
+		if known == nil {
+			known = &shapeStats{shape: found, text: found.Text()}
+			byShape[found.ID] = known
 		}
-		t.n++
-		if x.Work > 0 {
-			book.Learn(sh, x.Told, x.Work, max(x.Mem, 0))
-			t.work += x.Work
-			t.price.Work.Add(x.Work)
-			t.price.Mem.Add(x.Mem)
+		known.count++
+		if input.Work > 0 {
+			book.Learn(found, input.Told, input.Work, max(input.Mem, 0))
+			known.workMs += input.Work
+			known.price.Work.Add(input.Work)
+			known.price.Mem.Add(input.Mem)
 		}
 		return nil
 	})
 	if err != nil {
 		return err
 	}
-	st := book.Stats()
-	if st.Lookups == 0 {
-		return fmt.Errorf("%s: no statement in it, %d bad lines", r.File, bad)
+	stats := book.Stats()
+	if stats.Lookups == 0 {
+		return fmt.Errorf("%s: no statement in it, %d bad lines", r.File, badLines)
 	}
 	w := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
 	row := func(name, format string, args ...any) { fmt.Fprintf(w, "%s\t%s\n", name, fmt.Sprintf(format, args...)) }
-	row("statements", "%d", st.Lookups)
-	row("bad lines", "%d", bad)
-	row("shapes", "%d, of which %d are remembered in %d KB", len(seen), st.Shapes, st.Bytes>>10)
-	row("hit rate", "%.4f", float64(st.Hits)/float64(st.Lookups))
-	row("evictions", "%d", st.Evicted)
-	row("too long to remember", "%d", st.Uncached)
-	row("ns a statement", "%.0f", float64(took.Nanoseconds())/float64(st.Lookups))
-	if st.LearnedEstimateError > 0 {
-		row("estimates off by", "told x%.2f, learned x%.2f (medians)", st.RequestEstimateError, st.LearnedEstimateError)
+	row("statements", "%d", stats.Lookups)
+	row("bad lines", "%d", badLines)
+	row("shapes", "%d, of which %d are remembered in %d KB", len(byShape), stats.Shapes, stats.Bytes>>10)
+	row("hit rate", "%.4f", float64(stats.Hits)/float64(stats.Lookups))
+	row("evictions", "%d", stats.Evicted)
+	row("too long to remember", "%d", stats.Uncached)
+	row("ns a statement", "%.0f", float64(elapsed.Nanoseconds())/float64(stats.Lookups))
+	if stats.LearnedEstimateError > 0 {
+		row("estimates off by", "told x%.2f, learned x%.2f (medians)", stats.RequestEstimateError, stats.LearnedEstimateError)
 	}
 	for d := shape.NoReason; d < shape.NumReasons; d++ {
 		if doubts[d] > 0 {
@@ -184,37 +188,39 @@
 		}
 	}
 	fmt.Fprintln(w)
-	all := make([]*tally, 0, len(seen))
-	for _, t := range seen {
-		all = append(all, t)
+	all := make([]*shapeStats, 0, len(byShape))
+	for _, known := range byShape {
+		all = append(all, known)
 	}
-	dearest(w, all, r.Most)
+	printCostliest(w, all, r.Most)
 	return w.Flush()
 }
 
-// dearest lists shapes, those first that took most work, and among equals those that came most often.
-func dearest(w io.Writer, all []*tally, most int) {
-	slices.SortFunc(all, func(a, b *tally) int {
+// printCostliest prints at most limit shapes, ordered by total work, then by number of statements, both descending.
+func printCostliest(w io.Writer, all []*shapeStats, limit int) {
+	slices.SortFunc(all, func(a, b *shapeStats) int {
 		switch {
-		case a.work != b.work:
-			return sign(b.work - a.work)
-		case a.n != b.n:
-			return b.n - a.n
+		case a.workMs != b.workMs:
+			return sign(b.workMs - a.workMs)
+		case a.count != b.count:
+			return b.count - a.count
 		}
-		return sign(float64(a.s.ID) - float64(b.s.ID))
+		return sign(float64(a.shape.ID) - float64(b.shape.ID))
 	})
 	fmt.Fprintln(w, "SHAPE\tKIND\tREADS\tWRITES\tN\tWORK MS\tP50\tP95\tMEM MB\tTEXT")
-	for _, t := range all[:min(most, len(all))] {
+	for _, t := range all[:min(limit, len(all))] {
 		text := t.text
 		if r := []rune(text); len(r) > 80 {
 			text = string(r[:77]) + "..."
 		}
 		p := &t.price
-		fmt.Fprintf(w, "%s\t%v\t%v\t%v\t%d\t%.0f\t%.0f\t%.0f\t%.0f\t%s\n", t.s.Name(), t.s.Kind, t.s.Reads, t.s.Writes, t.n, t.work,
+		fmt.Fprintf(w, "%s\t%v\t%v\t%v\t%d\t%.0f\t%.0f\t%.0f\t%.0f\t%s\n", t.shape.Name(),
+			t.shape.Kind, t.shape.Reads, t.shape.Writes, t.count, t.workMs,
 			p.Work.Quantile(0.5), p.Work.Quantile(0.95), p.Mem.Mean(), text)
 	}
 }
 
+// sign returns -1, 0 or 1, like cmp.Compare(v, 0).
 func sign(v float64) int {
 	switch {
 	case v < 0:
@@ -225,30 +231,32 @@
 	return 0
 }
 
+// show is the command that lists the shapes in a snapshot.
 type show struct {
 	File string `arg:"" help:"The file that shapes.file names."`
 	Most int    `default:"20" help:"Shapes to list, the dearest first."`
 }
 
-// Run is the command.
+// Run reads the snapshot and prints its most expensive shapes.
 func (c show) Run(s streams) error {
-	const most = 64 << 20
-	payload, err := snapshot.Read(c.File, shape.DumpKind, shape.DumpVersion, most)
+	const maxBytes = 64 << 20
+	payload, err := snapshot.Read(c.File, shape.DumpKind, shape.DumpVersion, maxBytes)
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.File, err)
 	}
-	book := shape.NewCatalog(shape.Options{MaxBytes: most})
+	book := shape.NewCatalog(shape.Options{MaxBytes: maxBytes})
 	n, err := book.Load(payload)
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.File, err)
 	}
 	w := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "shapes\t%d\n\n", n)
-	var all []*tally
-	book.Each(func(x *shape.Shape) {
-		p := &x.Cost
-		all = append(all, &tally{s: x, n: int(p.Work.Count()), work: p.Work.Count() * p.Work.Mean(), price: *p, text: x.Text()})
+	var all []*shapeStats
+	book.Each(func(known *shape.Shape) {
+		p := &known.Cost
+		all = append(all, &shapeStats{shape: known, count: int(p.Work.Count()), workMs: p.Work.Count() * p.Work.Mean(), price: *p,
+			text: known.Text()})
 	})
-	dearest(w, all, c.Most)
+	printCostliest(w, all, c.Most)
 	return w.Flush()
 }
--- a/cmd/thymectl/shapes_test.go
+++ b/cmd/thymectl/shapes_test.go
@@ -12,13 +12,14 @@
 	"thymeway/internal/snapshot"
 )
 
-func output(t *testing.T, in string, args ...string) (out, errs string, code int) {
-	var o, e bytes.Buffer
-	code = run(args, streams{strings.NewReader(in), &o}, &e)
-	return o.String(), e.String(), code
+// runTool runs thymectl with the given input and arguments.
+func runTool(t *testing.T, in string, args ...string) (out, errs string, code int) {
+	var stdout, stderr bytes.Buffer
+	code = run(args, streams{strings.NewReader(in), &stdout}, &stderr)
+	return stdout.String(), stderr.String(), code
 }
 
-// Each line gets one line, in the form that is promised.
+// explain writes one line in the documented format for each line of input, valid or not.
 func TestExplain(t *testing.T) {
 	in := `{"text":"SELECT count(*) FROM sales_17.orders o, ref_8.x WHERE a = 'x'","dialect":"postgres"}
 {"text":"select COUNT(*) from sales_17.orders O, ref_8.x where a = 'y' -- z","dialect":"postgres"}
@@ -30,16 +31,18 @@
 {"text":"SELECT 1","dialect":"oracle"}
 {"dialect":"postgres"}
 nonsense`
-	out, errs, code := output(t, in, "shapes", "explain")
+	out, errs, code := runTool(t, in, "shapes", "explain")
 	got := strings.Split(strings.TrimSpace(out), "\n")
 	if code != 0 || errs != "" || len(got) != 9 {
 		t.Fatalf("code %d, %s%s", code, out, errs)
 	}
-	if got[0] != got[1] || !strings.HasPrefix(got[0], `{"kind":"aggregate","reads":["17","8"],"writes":[],"shape":"`) || !strings.HasSuffix(got[0], `","verdict":"known","reason":"recognised"}`) {
+	if got[0] != got[1] || !strings.HasPrefix(got[0], `{"kind":"aggregate","reads":["17","8"],"writes":[],"shape":"`) ||
+		!strings.HasSuffix(got[0], `","verdict":"known","reason":"recognised"}`) {
 		t.Errorf("%s\n%s", got[0], got[1])
 	}
-	for i, want := range map[int][]string{2: {`"write"`, `"reads":[]`, `"writes":["3"]`, `"known"`}, 3: {`"write"`, `["3"]`, `"known"`},
-		4: {`"unknown"`, `"default"`, `"malformed"`}, 5: {`"control"`}, 6: {`"unknown"`, `"default"`, "oracle"}, 7: {"no text"}, 8: {"bad line"}} {
+	for i, want := range map[int][]string{2: {`"write"`, `"reads":[]`, `"writes":["3"]`, `"known"`},
+		3: {`"write"`, `["3"]`, `"known"`}, 4: {`"unknown"`, `"default"`, `"malformed"`}, 5: {`"control"`},
+		6: {`"unknown"`, `"default"`, "oracle"}, 7: {"no text"}, 8: {"bad line"}} {
 		for _, w := range want {
 			if !strings.Contains(got[i], w) {
 				t.Errorf("line %d: %s lacks %s", i, got[i], w)
@@ -48,7 +51,7 @@
 	}
 }
 
-// A replay tells hit rate and prices; the list begins with the dearest shape.
+// replay reports the hit rate and the errors of the estimates, and lists the most expensive shape first.
 func TestReplay(t *testing.T) {
 	var in strings.Builder
 	for i := range 100 {
@@ -60,47 +63,48 @@
 	if err := os.WriteFile(file, []byte(in.String()), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	out, _, code := output(t, "", "shapes", "replay", file)
+	out, _, code := runTool(t, "", "shapes", "replay", file)
 	lines := strings.Split(out, "\n")
 	for _, want := range []string{"statements", "201", "hit rate", "0.9851", "malformed", "told x4.", "learned x1."} {
 		if !strings.Contains(out, want) {
-			t.Errorf("no %s in\n%s", want, out)
+			t.Errorf("%s is missing in\n%s", want, out)
 		}
 	}
 	for i, l := range lines {
 		if strings.HasPrefix(l, "SHAPE") && !strings.Contains(lines[i+1], "aggregate") {
-			t.Errorf("the dearest is %s", lines[i+1])
+			t.Errorf("the first shape listed is %s", lines[i+1])
 		}
 	}
 	if code != 0 {
 		t.Errorf("code %d", code)
 	}
-	if _, errs, code := output(t, "", "shapes", "replay", file+"x"); code != 1 || !strings.Contains(errs, "no such file") {
+	if _, errs, code := runTool(t, "", "shapes", "replay", file+"x"); code != 1 || !strings.Contains(errs, "no such file") {
 		t.Errorf("code %d, %s", code, errs)
 	}
-	if _, errs, code := output(t, "", "shapes", "sing"); code != 2 || errs == "" {
+	if _, errs, code := runTool(t, "", "shapes", "sing"); code != 2 || errs == "" {
 		t.Errorf("code %d, %s", code, errs)
 	}
 }
 
-// A snapshot is shown; one that can't be believed is refused with its reason.
+// show lists the shapes in a snapshot, and rejects a truncated one with the reason.
 func TestShow(t *testing.T) {
 	b := shape.NewCatalog(shape.Options{MaxBytes: 1 << 20})
 	b.Learn(b.Recognise("SELECT a FROM sales_3.t WHERE b = 5", shape.Postgres, 0), 0, 70, 5)
 	d := b.Dump()
 	d.Step(10)
 	file := filepath.Join(t.TempDir(), "s")
-	whole := snapshot.Seal(shape.DumpKind, shape.DumpVersion, d.Bytes())
+	whole := snapshot.Encode(shape.DumpKind, shape.DumpVersion, d.Bytes())
 	if err := snapshot.Write(file, whole); err != nil {
 		t.Fatal(err)
 	}
-	if out, errs, code := output(t, "", "shapes", "show", file); code != 0 || !strings.Contains(out, "select a from sales_3 . t where b = ?") || !strings.Contains(out, "70") {
+	if out, errs, code := runTool(t, "", "shapes", "show", file); code != 0 ||
+		!strings.Contains(out, "select a from sales_3 . t where b = ?") || !strings.Contains(out, "70") {
 		t.Errorf("%s%s", out, errs)
 	}
 	if err := os.WriteFile(file, whole[:50], 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, errs, code := output(t, "", "shapes", "show", file); code != 1 || !strings.Contains(errs, "torn") {
+	if _, errs, code := runTool(t, "", "shapes", "show", file); code != 1 || !strings.Contains(errs, "torn") {
 		t.Errorf("code %d, %s", code, errs)
 	}
 }
--- a/cmd/thymeway/clock_test.go
+++ b/cmd/thymeway/clock_test.go
@@ -19,28 +19,29 @@
 	"thymeway/internal/wallclock"
 )
 
-// answerSlack is by how much the final answer may come after the client's limit.
+// answerSlack is how late after the client's timeout the final answer may arrive.
 const answerSlack = 500 * time.Millisecond
 
-// site is the program as a process of its own, whose wall clock the test steps, with one worker group listed.
-type site struct {
-	t         *testing.T
-	addr      string
-	clock     *wallclock.Clock
-	discovery *standin.Discovery
-	log       *strings.Builder
-	process   *exec.Cmd
-	asked     int // requests so far
+// testProcess is the program in a separate process, whose wall clock the test steps.
+type testProcess struct {
+	t            *testing.T
+	addr         string
+	clock        *wallclock.Clock
+	discovery    *standin.Discovery
+	log          *strings.Builder
+	cmd          *exec.Cmd
+	requestCount int // requests sent so far
 }
 
-// newSite starts the program in front of worker groups, as discovery lists them; pairs replace parts of the settings.
-func newSite(t *testing.T, groups []string, pairs ...string) *site {
+// startTestProcess starts the program with the given listed worker groups. pairs replaces parts of the settings, as in
+// writeConfig.
+func startTestProcess(t *testing.T, groups []string, pairs ...string) *testProcess {
 	t.Helper()
-	return newSiteAt(t, 0, groups, pairs...)
+	return startShiftedTestProcess(t, 0, groups, pairs...)
 }
 
-// newSiteAt does the same where the wall clock is wrong from the start.
-func newSiteAt(t *testing.T, shift time.Duration, groups []string, pairs ...string) *site {
+// startShiftedTestProcess is like startTestProcess, with a wall clock that is off by shift from the start.
+func startShiftedTestProcess(t *testing.T, shift time.Duration, groups []string, pairs ...string) *testProcess {
 	t.Helper()
 	dir := t.TempDir()
 	clock, err := wallclock.New(dir)
@@ -48,32 +49,32 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = clock.Close() })
-	s := &site{t: t, addr: free(t), clock: clock, discovery: &standin.Discovery{}, log: &strings.Builder{}}
-	s.shift(shift)
-	board, err := s.discovery.Start(1)
+	s := &testProcess{t: t, addr: freeAddr(t), clock: clock, discovery: &standin.Discovery{}, log: &strings.Builder{}}
+	s.shiftClock(shift)
+	discoveryAddr, err := s.discovery.Start(1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(s.discovery.Stop)
 	file := filepath.Join(dir, "config.json")
-	configure(t, file, groups, append([]string{"127.0.0.1:5499", s.addr, "127.0.0.1:8599", board}, pairs...)...)
-	s.process = exec.Command(os.Args[0])
-	s.process.Env = append(os.Environ(), append(clock.Environment(), "THYMEWAY_AS_PROGRAM=1", "EDGE_CONFIG="+file)...)
-	s.process.Stderr = s.log
-	if err := s.process.Start(); err != nil {
+	writeConfig(t, file, groups, append([]string{"127.0.0.1:5499", s.addr, "127.0.0.1:8599", discoveryAddr}, pairs...)...)
+	s.cmd = exec.Command(os.Args[0])
+	s.cmd.Env = append(os.Environ(), append(clock.Environment(), "THYMEWAY_AS_PROGRAM=1", "EDGE_CONFIG="+file)...)
+	s.cmd.Stderr = s.log
+	if err := s.cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(s.stop)
-	s.wait("discovery to be followed", s.discovery.Watched)
+	s.waitFor("a watch of discovery", s.discovery.HasWatcher)
 	return s
 }
 
-// stop ends the program; its log is shown where the test failed.
-func (s *site) stop() {
-	_ = s.process.Process.Signal(syscall.SIGTERM)
-	kill := time.AfterFunc(20*time.Second, func() { _ = s.process.Process.Kill() })
-	err := s.process.Wait()
-	kill.Stop()
+// stop ends the program, and prints its log if the test has failed.
+func (s *testProcess) stop() {
+	_ = s.cmd.Process.Signal(syscall.SIGTERM)
+	killTimer := time.AfterFunc(20*time.Second, func() { _ = s.cmd.Process.Kill() })
+	err := s.cmd.Wait()
+	killTimer.Stop()
 	if err != nil {
 		s.t.Errorf("the program ended with %v", err)
 	}
@@ -82,140 +83,150 @@
 	}
 }
 
-func (s *site) wait(what string, ready func() bool) {
+// waitFor waits until ready returns true, and fails the test after 30 s.
+func (s *testProcess) waitFor(what string, ready func() bool) {
 	s.t.Helper()
-	for end := time.Now().Add(30 * time.Second); !ready(); time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(end) {
-			s.t.Fatalf("waited in vain for %s", what)
+	for deadline := time.Now().Add(30 * time.Second); !ready(); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			s.t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
 
-func (s *site) shift(by time.Duration) {
+// shiftClock sets the offset of the program's wall clock.
+func (s *testProcess) shiftClock(offset time.Duration) {
 	s.t.Helper()
-	if err := s.clock.Shift(by); err != nil {
+	if err := s.clock.Shift(offset); err != nil {
 		s.t.Fatal(err)
 	}
 }
 
-// verdict is what a client was answered, and how long after it sent its request.
-type verdict struct {
-	err  error
-	took time.Duration
+// result is the result of a request, and the time from sending it to the answer.
+type result struct {
+	err     error
+	elapsed time.Duration
 }
 
-// served tells whether rows came; a connection that ended without an answer is told as a failure of the test.
-func (s *site) served(v verdict) bool {
+// served reports whether the request succeeded. A connection that ended without a final answer fails the test.
+func (s *testProcess) served(r result) bool {
 	s.t.Helper()
 	var failure *pgconn.PgError
-	if v.err != nil && !errors.As(v.err, &failure) {
-		s.t.Errorf("after %v the client has no answer: %v", v.took, v.err)
+	if r.err != nil && !errors.As(r.err, &failure) {
+		s.t.Errorf("the client has no answer after %v: %v", r.elapsed, r.err)
 	}
-	return v.err == nil
+	return r.err == nil
 }
 
-// ask sends a request of a class and gives its answer later. The client waits for long past its limit.
-func (s *site) ask(class string, limit time.Duration) <-chan verdict {
+// sendRequest sends a request of a class and delivers its result on the returned channel. The client waits until long after
+// the timeout that the request carries.
+func (s *testProcess) sendRequest(class string, limit time.Duration) <-chan result {
 	s.t.Helper()
-	ctx, stop := context.WithTimeout(context.Background(), limit+20*time.Second)
+	ctx, cancel := context.WithTimeout(context.Background(), limit+20*time.Second)
 	conn, err := pgx.Connect(ctx, pgURL(s.addr))
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	s.asked++
+	s.requestCount++
 	text := fmt.Sprintf("/* verb=%s,txn=%016x,limit=%d,team=acme,unique=u%d,item=k1,cpu=1000 */ INSERT INTO sales_17.orders SELECT a FROM staging.b",
-		class, s.asked, limit.Milliseconds(), s.asked)
+		class, s.requestCount, limit.Milliseconds(), s.requestCount)
 	if class == "lookup" {
-		text = fmt.Sprintf("/* verb=lookup,txn=%016x,limit=%d,team=acme,cpu=1000 */ SELECT a FROM sales_17.orders", s.asked, limit.Milliseconds())
+		text = fmt.Sprintf("/* verb=lookup,txn=%016x,limit=%d,team=acme,cpu=1000 */ SELECT a FROM sales_17.orders",
+			s.requestCount, limit.Milliseconds())
 	}
-	done, sent := make(chan verdict, 1), time.Now()
+	done, sent := make(chan result, 1), time.Now()
 	go func() {
-		defer stop()
+		defer cancel()
 		_, err := conn.Exec(ctx, text)
-		done <- verdict{err, time.Since(sent)}
+		done <- result{err, time.Since(sent)}
 		_ = conn.Close(ctx)
 	}()
 	return done
 }
 
-// group starts a worker group.
-func group(t *testing.T, script func(standin.Query) standin.Answer) (*standin.WorkerGroup, string) {
+// startGroup starts a worker group and returns it with its address.
+func startGroup(t *testing.T, script func(standin.Query) standin.Answer) (*standin.WorkerGroup, string) {
 	t.Helper()
-	g := &standin.WorkerGroup{Script: script}
-	addr, err := g.Start("")
+	group := &standin.WorkerGroup{Script: script}
+	addr, err := group.Start("")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(g.Stop)
-	return g, addr
+	t.Cleanup(group.Stop)
+	return group, addr
 }
 
-// steps are by how much the wall clock is stepped; none shows that the rest of a test keeps the rules.
-var steps = []time.Duration{0, -5 * time.Second, -time.Hour, 5 * time.Second, time.Hour}
+// clockSteps are the steps of the wall clock that each test is run with. With step 0 the test must pass as well, which
+// shows that a failure with another step is due to the step.
+var clockSteps = []time.Duration{0, -5 * time.Second, -time.Hour, 5 * time.Second, time.Hour}
 
-func eachStep(t *testing.T, play func(t *testing.T, step time.Duration)) {
-	for _, step := range steps {
+// forEachClockStep runs a parallel subtest for each clock step.
+func forEachClockStep(t *testing.T, test func(t *testing.T, step time.Duration)) {
+	for _, step := range clockSteps {
 		t.Run(step.String(), func(t *testing.T) {
 			t.Parallel()
-			play(t, step)
+			test(t, step)
 		})
 	}
 }
 
-// A keyed request that may have run was sent again after its window, as a step back made its first attempt look young.
+// Guards against a repeat after the dedup window of a keyed request that may have run: with a step back of the wall clock,
+// its first attempt would seem younger than the window.
 func TestKeyedRequestIsRepeatedAfterWindowWhenWallClockSteps(t *testing.T) {
-	eachStep(t, func(t *testing.T, step time.Duration) {
+	forEachClockStep(t, func(t *testing.T, step time.Duration) {
 		const window = 1500 * time.Millisecond
 		fail := make(chan struct{})
-		first, addr := group(t, func(standin.Query) standin.Answer { return standin.Answer{Until: fail, Status: 500} })
-		second, later := group(t, nil)
-		s := newSite(t, []string{member("s-1", addr)}, `"dedupWindowMs": 12000`, fmt.Sprintf(`"dedupWindowMs": %d`, window.Milliseconds()))
-		answer := s.ask("load", 4*time.Second)
-		s.wait("the first attempt", func() bool { return len(first.Queries()) == 1 })
-		sent := first.Queries()[0].Came
-		s.discovery.Publish(strings.Replace(member("s-1", addr), "Ready", "Terminating", 1))
+		first, addr := startGroup(t, func(standin.Query) standin.Answer { return standin.Answer{Until: fail, Status: 500} })
+		second, later := startGroup(t, nil)
+		s := startTestProcess(t, []string{listedGroup("s-1", addr)}, `"dedupWindowMs": 12000`,
+			fmt.Sprintf(`"dedupWindowMs": %d`, window.Milliseconds()))
+		answer := s.sendRequest("load", 4*time.Second)
+		s.waitFor("the first attempt", func() bool { return len(first.Queries()) == 1 })
+		sent := first.Queries()[0].ReceivedAt
+		s.discovery.Publish(strings.Replace(listedGroup("s-1", addr), "Ready", "Terminating", 1))
 		time.Sleep(200 * time.Millisecond)
 		close(fail)
 		time.Sleep(200 * time.Millisecond)
-		s.shift(step)
+		s.shiftClock(step)
 		time.Sleep(time.Until(sent.Add(window + 500*time.Millisecond)))
-		s.discovery.Publish(member("s-2", later))
-		v := <-answer
+		s.discovery.Publish(listedGroup("s-2", later))
+		r := <-answer
 		for _, q := range append(first.Queries()[1:], second.Queries()...) {
-			t.Errorf("sent again %v after the first attempt, window %v", q.Came.Sub(sent), window)
+			t.Errorf("sent again %v after the first attempt, window %v", q.ReceivedAt.Sub(sent), window)
 		}
-		if s.served(v); v.took > 4*time.Second+answerSlack {
-			t.Errorf("answered after %v, limit 4s", v.took)
+		if s.served(r); r.elapsed > 4*time.Second+answerSlack {
+			t.Errorf("answered after %v, limit 4s", r.elapsed)
 		}
 	})
 }
 
-// A request was answered as failed long before its limit, or long after it, as a step moved its deadline.
+// Guards against a timeout long before or long after the client's, which happens if a step of the wall clock moves the
+// request's deadline.
 func TestAnswerIsEarlyOrLateWhenWallClockSteps(t *testing.T) {
-	eachStep(t, func(t *testing.T, step time.Duration) {
+	forEachClockStep(t, func(t *testing.T, step time.Duration) {
 		const limit = 1500 * time.Millisecond
-		g, addr := group(t, func(standin.Query) standin.Answer { return standin.Answer{After: time.Minute} })
-		s := newSite(t, []string{member("s-1", addr)})
-		answer := s.ask("lookup", limit)
-		s.wait("the attempt", func() bool { return len(g.Queries()) > 0 })
-		s.shift(step)
-		v := <-answer
-		if s.served(v) || v.took > limit+answerSlack || v.took < limit-200*time.Millisecond {
-			t.Errorf("answered after %v (%v), limit %v", v.took, v.err, limit)
+		g, addr := startGroup(t, func(standin.Query) standin.Answer { return standin.Answer{RunTime: time.Minute} })
+		s := startTestProcess(t, []string{listedGroup("s-1", addr)})
+		answer := s.sendRequest("lookup", limit)
+		s.waitFor("the attempt", func() bool { return len(g.Queries()) > 0 })
+		s.shiftClock(step)
+		r := <-answer
+		if s.served(r) || r.elapsed > limit+answerSlack || r.elapsed < limit-200*time.Millisecond {
+			t.Errorf("answered after %v (%v), limit %v", r.elapsed, r.err, limit)
 		}
 	})
 }
 
-// A request was failed though its worker group answered in time.
+// Guards against the failure of a running request whose worker group answers in time: a step of the wall clock must not
+// expire its deadline.
 func TestRunningRequestIsFailedWhenWallClockSteps(t *testing.T) {
-	eachStep(t, func(t *testing.T, step time.Duration) {
-		g, addr := group(t, func(standin.Query) standin.Answer { return standin.Answer{After: 1200 * time.Millisecond} })
-		s := newSite(t, []string{member("s-1", addr)})
-		answer := s.ask("lookup", 3*time.Second)
-		s.wait("the attempt", func() bool { return len(g.Queries()) > 0 })
-		s.shift(step)
-		if v := <-answer; !s.served(v) {
-			t.Errorf("after %v: %v", v.took, v.err)
+	forEachClockStep(t, func(t *testing.T, step time.Duration) {
+		g, addr := startGroup(t, func(standin.Query) standin.Answer { return standin.Answer{RunTime: 1200 * time.Millisecond} })
+		s := startTestProcess(t, []string{listedGroup("s-1", addr)})
+		answer := s.sendRequest("lookup", 3*time.Second)
+		s.waitFor("the attempt", func() bool { return len(g.Queries()) > 0 })
+		s.shiftClock(step)
+		if r := <-answer; !s.served(r) {
+			t.Errorf("after %v: %v", r.elapsed, r.err)
 		}
 		if n := len(g.Queries()); n != 1 {
 			t.Errorf("%d attempts", n)
@@ -223,56 +234,61 @@
 	})
 }
 
-// A worker group was told of more time than the client had left.
+// Guards against a time budget sent to a worker group that exceeds the time the client still waits, which happens if a step
+// of the wall clock changes the remaining time.
 func TestBudgetIsTooLongWhenWallClockSteps(t *testing.T) {
-	eachStep(t, func(t *testing.T, step time.Duration) {
+	forEachClockStep(t, func(t *testing.T, step time.Duration) {
 		const limit = 4 * time.Second
 		const slack = 150 * time.Millisecond
-		g, addr := group(t, nil)
-		s := newSite(t, []string{strings.Replace(member("s-1", addr), "Ready", "Terminating", 1)})
+		g, addr := startGroup(t, nil)
+		s := startTestProcess(t, []string{strings.Replace(listedGroup("s-1", addr), "Ready", "Terminating", 1)})
 		sent := time.Now()
-		answer := s.ask("lookup", limit)
+		answer := s.sendRequest("lookup", limit)
 		time.Sleep(300 * time.Millisecond)
-		s.shift(step)
+		s.shiftClock(step)
 		time.Sleep(time.Second)
-		s.discovery.Publish(member("s-2", addr))
-		if v := <-answer; !s.served(v) {
-			t.Errorf("after %v: %v", v.took, v.err)
+		s.discovery.Publish(listedGroup("s-2", addr))
+		if r := <-answer; !s.served(r) {
+			t.Errorf("after %v: %v", r.elapsed, r.err)
 		}
 		for _, q := range g.Queries() {
-			if left := limit - q.Came.Sub(sent); q.Budget > left+slack {
-				t.Errorf("told of %v, the client has %v left", q.Budget, left)
+			if left := limit - q.ReceivedAt.Sub(sent); q.Budget > left+slack {
+				t.Errorf("budget of %v, the client has %v left", q.Budget, left)
 			}
 		}
 	})
 }
 
-// A worker group that had just started was overloaded, or kept idle, where the wall clock was wrong as the program started.
+// Guards against overloading a worker group that has just started, or leaving it idle for too long, if the wall clock is wrong
+// when the program starts: discovery gives the start times by the right clock.
 func TestColdWorkerGroupIsOverloadedWhenWallClockIsWrong(t *testing.T) {
-	eachStep(t, func(t *testing.T, wrong time.Duration) {
+	forEachClockStep(t, func(t *testing.T, offset time.Duration) {
 		const requests = 100
-		g, addr := group(t, nil)
-		s := newSiteAt(t, wrong, []string{strings.Replace(member("s-1", addr), "Ready", "Terminating", 1)}, `"warmAfterMs": 14000`, `"warmAfterMs": 4000`)
+		g, addr := startGroup(t, nil)
+		s := startShiftedTestProcess(t, offset, []string{strings.Replace(listedGroup("s-1", addr), "Ready", "Terminating", 1)},
+			`"warmAfterMs": 14000`, `"warmAfterMs": 4000`)
 		started := time.Now()
-		s.discovery.Publish(strings.Replace(member("s-2", addr), `"up_since_ms": 0`, fmt.Sprintf(`"up_since_ms": %d`, started.UnixMilli()), 1))
-		answers := make([]<-chan verdict, requests)
+		s.discovery.Publish(strings.Replace(listedGroup("s-2", addr), `"up_since_ms": 0`,
+			fmt.Sprintf(`"up_since_ms": %d`, started.UnixMilli()), 1))
+		answers := make([]<-chan result, requests)
 		for i := range answers {
-			answers[i] = s.ask("lookup", 12*time.Second)
+			answers[i] = s.sendRequest("lookup", 12*time.Second)
 		}
-		// The settings allow 2.5 times 0.34 of what 12 cores do at 85% in 3 s: 26 requests of 1 s of work, and 3 x root of N + 3.
+		// While the group is cold, the settings allow 2.5 times 0.34 of what 12 cores do at 85% in 3 s, that is 26 requests of
+		// 1 s of work, plus a tolerance of 3 * sqrt(26) + 3.
 		const allowed = 26 + 18
 		time.Sleep(time.Until(started.Add(2 * time.Second)))
 		if n := len(g.Queries()); n > allowed {
-			t.Errorf("%d requests in 2 s after its start, %d allowed", n, allowed)
+			t.Errorf("%d requests in the 2 s after the start, %d allowed", n, allowed)
 		}
 		served := 0
-		for _, a := range answers {
-			if v := <-a; s.served(v) {
+		for _, results := range answers {
+			if r := <-results; s.served(r) {
 				served++
 			}
 		}
 		if served < requests*9/10 {
-			t.Errorf("%d of %d served though it is warm after 4 s", served, requests)
+			t.Errorf("%d of %d served, though the group is warm after 4 s", served, requests)
 		}
 	})
 }
--- a/cmd/thymeway/descriptors_test.go
+++ b/cmd/thymeway/descriptors_test.go
@@ -16,33 +16,34 @@
 	"thymeway/internal/standin"
 )
 
-// The program ended as accept failed for want of descriptors. It waits for free ones, and serves again.
+// Guards against the end of the program when accept fails because all file descriptors are in use. It must wait until
+// descriptors are free, and then serve again.
 func TestProgramEndsWhenAcceptHasNoDescriptor(t *testing.T) {
-	g, engine := group(t, nil)
-	d := &standin.Discovery{}
-	board, err := d.Start(1)
+	g, engine := startGroup(t, nil)
+	discovery := &standin.Discovery{}
+	discoveryAddr, err := discovery.Start(1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(d.Stop)
-	addr, file, log := free(t), filepath.Join(t.TempDir(), "config.json"), &strings.Builder{}
-	configure(t, file, []string{member("s-1", engine)}, "127.0.0.1:5499", addr, "127.0.0.1:8599", board)
-	// Far fewer descriptors than the configuration tells.
-	c := exec.Command("/bin/sh", "-c", "ulimit -n 40; exec "+os.Args[0])
-	c.Env, c.Stderr = append(os.Environ(), "THYMEWAY_AS_PROGRAM=1", "EDGE_CONFIG="+file), log
-	if err := c.Start(); err != nil {
+	t.Cleanup(discovery.Stop)
+	addr, file, log := freeAddr(t), filepath.Join(t.TempDir(), "config.json"), &strings.Builder{}
+	writeConfig(t, file, []string{listedGroup("s-1", engine)}, "127.0.0.1:5499", addr, "127.0.0.1:8599", discoveryAddr)
+	// Far fewer descriptors than the configuration allows.
+	cmd := exec.Command("/bin/sh", "-c", "ulimit -n 40; exec "+os.Args[0])
+	cmd.Env, cmd.Stderr = append(os.Environ(), "THYMEWAY_AS_PROGRAM=1", "EDGE_CONFIG="+file), log
+	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
 	ended := make(chan error, 1)
-	go func() { ended <- c.Wait() }()
+	go func() { ended <- cmd.Wait() }()
 	t.Cleanup(func() {
-		_ = c.Process.Kill()
+		_ = cmd.Process.Kill()
 		<-ended
 		if t.Failed() {
 			t.Logf("log of the program:\n%s", log)
 		}
 	})
-	for end := time.Now().Add(30 * time.Second); !d.Watched(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(30 * time.Second); !discovery.HasWatcher(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the program does not start")
 		}
@@ -64,8 +65,8 @@
 	for _, conn := range idle {
 		_ = conn.Close()
 	}
-	ctx, stop := context.WithTimeout(context.Background(), 20*time.Second)
-	defer stop()
+	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
+	defer cancel()
 	conn, err := pgx.Connect(ctx, pgURL(addr))
 	if err != nil {
 		t.Fatalf("no connection once descriptors are free: %v", err)
--- a/cmd/thymeway/ending_test.go
+++ b/cmd/thymeway/ending_test.go
@@ -17,28 +17,31 @@
 	"thymeway/internal/standin"
 )
 
-// crossing is for how long before the end of its connection a request may have been sent to go without an answer.
-const crossing = 50 * time.Millisecond
+// maxInTransit bounds how long before the end of its connection a request may be sent without getting an answer: it may
+// still be on its way when the program closes the connection.
+const maxInTransit = 50 * time.Millisecond
 
-// caller sends requests on one connection, one after another, until it ends.
-type caller struct {
-	addr    string
-	numbers *atomic.Int64
-	random  *rand.Rand
+// testClient sends requests on one connection, one after another, until the connection ends.
+type testClient struct {
+	addr       string
+	lastNumber *atomic.Int64
+	random     *rand.Rand
 }
 
-// run returns the last request's error if it was sent long before the connection ended and got no final answer.
-func (c *caller) run(ctx context.Context) error {
+// run returns an error if a request was answered too late, or if the last one got no final answer though it was sent more
+// than maxInTransit before the connection ended.
+func (c *testClient) run(ctx context.Context) error {
 	conn, err := pgx.Connect(ctx, pgURL(c.addr))
 	if err != nil {
-		return nil // refused: it is tried elsewhere
+		return nil // refused: a real client would connect to another coordinator
 	}
 	defer conn.Close(ctx)
 	for {
-		number := c.numbers.Add(1)
+		number := c.lastNumber.Add(1)
 		limit := 100 + c.random.Intn(1500)
 		sent := time.Now()
-		_, err := conn.Exec(ctx, fmt.Sprintf("/* verb=lookup,txn=%016x,limit=%d,team=acme,cpu=20 */ SELECT a FROM sales_%d.t", number, limit, number%9))
+		_, err := conn.Exec(ctx, fmt.Sprintf("/* verb=lookup,txn=%016x,limit=%d,team=acme,cpu=20 */ SELECT a FROM sales_%d.t",
+			number, limit, number%9))
 		took := time.Since(sent)
 		var answer *pgconn.PgError
 		final := err == nil || errors.As(err, &answer)
@@ -49,7 +52,7 @@
 			time.Sleep(time.Duration(c.random.Intn(20)) * time.Millisecond)
 		case final:
 			return nil
-		case took > crossing:
+		case took > maxInTransit:
 			return fmt.Errorf("request %d: no answer, the connection ended after %v: %w", number, took, err)
 		default:
 			return nil
@@ -57,38 +60,39 @@
 	}
 }
 
-// A request that was read before the program ended on SIGTERM went without its final answer.
+// Guards against requests without a final answer when the program ends on SIGTERM: each request that it has read must be
+// answered first.
 func TestRequestIsLostWhenProgramEnds(t *testing.T) {
 	const clients = 40
 	for seed := int64(1); seed <= 3; seed++ {
 		random := rand.New(rand.NewSource(seed))
 		var groups []string
 		for i := range 3 {
-			slow := rand.New(rand.NewSource(seed*10 + int64(i)))
+			durations := rand.New(rand.NewSource(seed*10 + int64(i)))
 			var mu sync.Mutex
-			_, addr := group(t, func(standin.Query) standin.Answer {
+			_, addr := startGroup(t, func(standin.Query) standin.Answer {
 				mu.Lock()
 				defer mu.Unlock()
-				return standin.Answer{After: time.Duration(slow.ExpFloat64() * float64(150*time.Millisecond))}
+				return standin.Answer{RunTime: time.Duration(durations.ExpFloat64() * float64(150*time.Millisecond))}
 			})
-			groups = append(groups, member(fmt.Sprint("s-", i), addr))
+			groups = append(groups, listedGroup(fmt.Sprint("s-", i), addr))
 		}
-		s := newSite(t, groups)
-		ctx, stop := context.WithTimeout(context.Background(), 30*time.Second)
+		s := startTestProcess(t, groups)
+		ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 		var numbers atomic.Int64
 		faults := make(chan error, clients)
 		for range clients {
-			c := &caller{addr: s.addr, numbers: &numbers, random: rand.New(rand.NewSource(random.Int63()))}
+			c := &testClient{addr: s.addr, lastNumber: &numbers, random: rand.New(rand.NewSource(random.Int63()))}
 			go func() { faults <- c.run(ctx) }()
 		}
 		time.Sleep(300 * time.Millisecond)
-		_ = s.process.Process.Signal(syscall.SIGTERM)
+		_ = s.cmd.Process.Signal(syscall.SIGTERM)
 		for range clients {
 			if err := <-faults; err != nil {
 				t.Errorf("seed %d: %v", seed, err)
 			}
 		}
-		stop()
+		cancel()
 		if numbers.Load() < clients {
 			t.Errorf("seed %d: only %d requests", seed, numbers.Load())
 		}
--- a/cmd/thymeway/fleet_test.go
+++ b/cmd/thymeway/fleet_test.go
@@ -15,7 +15,8 @@
 	"github.com/jackc/pgx/v5"
 )
 
-// TestMain lets the test's own program be the real one, as a process with a memory of its own.
+// TestMain runs the real program instead of the tests if THYMEWAY_AS_PROGRAM is set, so that tests can start it as a separate
+// process.
 func TestMain(m *testing.M) {
 	if os.Getenv("THYMEWAY_AS_PROGRAM") != "" {
 		main()
@@ -23,8 +24,8 @@
 	os.Exit(m.Run())
 }
 
-// program starts the program as a process.
-func program(t *testing.T) (*exec.Cmd, *strings.Builder) {
+// startProgram starts the program as a separate process and returns it with its log.
+func startProgram(t *testing.T) (*exec.Cmd, *strings.Builder) {
 	t.Helper()
 	c, log := exec.Command(os.Args[0]), &strings.Builder{}
 	c.Env, c.Stderr = append(os.Environ(), "THYMEWAY_AS_PROGRAM=1"), log
@@ -35,11 +36,11 @@
 	return c, log
 }
 
-// lookups sends requests of 20 table groups once the program answers.
-func lookups(t *testing.T, addr string) {
+// sendLookups waits until the program accepts connections, and sends 40 requests over 20 table groups.
+func sendLookups(t *testing.T, addr string) {
 	t.Helper()
-	ctx, stop := context.WithTimeout(context.Background(), 60*time.Second)
-	defer stop()
+	ctx, cancel := context.WithTimeout(context.Background(), 60*time.Second)
+	defer cancel()
 	conn, err := pgx.Connect(ctx, pgURL(addr))
 	for ; err != nil && ctx.Err() == nil; conn, err = pgx.Connect(ctx, pgURL(addr)) {
 		time.Sleep(20 * time.Millisecond)
@@ -50,48 +51,52 @@
 	defer conn.Close(ctx)
 	for i := range 40 {
 		var x, y, z string
-		if err := conn.QueryRow(ctx, fmt.Sprintf("/* verb=lookup,txn=%016x,limit=3000,team=acme */ SELECT a FROM sales_%d.t", i+1, i%20)).Scan(&x, &y, &z); err != nil || x+y+z != "abc" {
+		if err := conn.QueryRow(ctx, fmt.Sprintf("/* verb=lookup,txn=%016x,limit=3000,team=acme */ SELECT a FROM sales_%d.t",
+			i+1, i%20)).Scan(&x, &y, &z); err != nil || x+y+z != "abc" {
 			t.Fatalf("request %d: %q %v", i, x+y+z, err)
 		}
 	}
 }
 
-// The real program serves with hundreds and with 1,024 coordinators and worker groups, within 32 MB and 256 descriptors. It
-// takes a whole list in one line of the board, moves to another board on SIGHUP, ends on SIGTERM and returns after SIGKILL.
-func TestWholeFleet(t *testing.T) {
+// The program serves with hundreds and with 1,024 coordinators and worker groups, within 32 MB and 256 descriptors. It accepts
+// a complete list in one line from discovery, moves to another discovery service on SIGHUP, ends on SIGTERM, and starts again
+// after SIGKILL.
+func TestLargeFleet(t *testing.T) {
 	engine := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Page-Count", "1")
 		fmt.Fprint(w, "a\tb\tc\n")
 	})}
 	t.Cleanup(func() { _ = engine.Close() })
 	for _, size := range [][2]int{{350, 300}, {1024, 1024}} {
-		var members []string
+		var groups []string
 		for i := range size[1] {
 			l, addr := listen(t)
-			members = append(members, member(fmt.Sprintf("s-%08x", i*2654435761), addr))
+			groups = append(groups, listedGroup(fmt.Sprintf("s-%08x", i*2654435761), addr))
 			go func() { _ = engine.Serve(l) }()
 		}
-		one, at := listen(t)
-		two, next := listen(t)
-		addr, file := free(t), filepath.Join(t.TempDir(), "config.json")
+		first, firstAddr := listen(t)
+		second, secondAddr := listen(t)
+		addr, file := freeAddr(t), filepath.Join(t.TempDir(), "config.json")
 		t.Setenv("EDGE_CONFIG", file)
-		write := func(board string) {
-			configure(t, file, members, "127.0.0.1:5499", addr, "127.0.0.1:8599", board, `"sockets": 1024`, `"sockets": 256`, `"memory_mb": 192`, `"memory_mb": 32`,
+		write := func(discovery string) {
+			writeConfig(t, file, groups, "127.0.0.1:5499", addr, "127.0.0.1:8599", discovery, `"sockets": 1024`, `"sockets": 256`,
+				`"memory_mb": 192`, `"memory_mb": 32`,
 				`"index": 0, "instances": 1,`, fmt.Sprintf(`"index": %d, "instances": %d,`, size[0]*2/3, size[0]))
 		}
-		write(at)
-		c, log := program(t)
-		lookups(t, addr)
-		watched(t, one, 1)
-		write(next)
+		write(firstAddr)
+		c, log := startProgram(t)
+		sendLookups(t, addr)
+		acceptWatch(t, first, 1)
+		write(secondAddr)
 		_ = c.Process.Signal(syscall.SIGHUP)
-		board := watched(t, two, 1)
-		list := strings.ReplaceAll(strings.Join(members[:size[1]/2], ","), "Ready", "Terminating") + "," + strings.Join(members[size[1]/2:], ",")
-		fmt.Fprintf(board, `{"rev":2,"pool":{"revision":2,"complete":true,"members":[%s]}}`+"\n", list)
-		_ = board.Close()
-		watched(t, two, 2) // the long line was taken
-		lookups(t, addr)
-		if kb := memory(c.Process.Pid, "VmHWM"); kb == 0 || kb > 32<<10 {
+		watch := acceptWatch(t, second, 1)
+		list := strings.ReplaceAll(strings.Join(groups[:size[1]/2], ","), "Ready", "Terminating") + "," +
+			strings.Join(groups[size[1]/2:], ",")
+		fmt.Fprintf(watch, `{"rev":2,"pool":{"revision":2,"complete":true,"members":[%s]}}`+"\n", list)
+		_ = watch.Close()
+		acceptWatch(t, second, 2) // the long line was applied
+		sendLookups(t, addr)
+		if kb := processMemoryKB(c.Process.Pid, "VmHWM"); kb == 0 || kb > 32<<10 {
 			t.Errorf("%v: %d KB at most", size, kb)
 		} else {
 			t.Logf("%v: %d KB at most", size, kb)
@@ -101,8 +106,8 @@
 			t.Errorf("SIGTERM: %v\n%s", err, log)
 		}
 		for range 2 {
-			c, _ = program(t)
-			lookups(t, addr)
+			c, _ = startProgram(t)
+			sendLookups(t, addr)
 			_ = c.Process.Kill()
 			_ = c.Wait()
 		}
--- a/cmd/thymeway/main.go
+++ b/cmd/thymeway/main.go
@@ -1,5 +1,5 @@
-// Command thymeway is the real coordinator: it serves clients on sockets and lets the decision module choose which
-// worker group runs which query and when.
+// Command thymeway is the coordinator: it serves clients over the network and lets the scheduler decide which worker group
+// runs which query, and when.
 package main
 
 import (
@@ -28,13 +28,13 @@
 )
 
 const (
-	memoryShare = 0.7 // of the limit, at which the collector works harder
-	garbage     = 200 // percent that the heap may grow between collections
-	readTries   = 20  // readings of a configuration that can't be opened for a moment
-	readPause   = 50 * time.Millisecond
+	memoryLimitShare = 0.7 // share of the memory limit above which the garbage collector runs more often
+	gcPercent        = 200 // percent by which the heap may grow between collections
+	maxReadAttempts  = 20  // of a configuration file that temporarily can't be opened
+	readRetryDelay   = 50 * time.Millisecond
 )
 
-// commands is the command line.
+// commands is the command line, as kong parses it.
 type commands struct {
 	Config   string   `help:"Our own settings." default:"${own}" env:"THYMEWAY_INI" type:"path" placeholder:"FILE"`
 	Serve    struct{} `cmd:"" default:"1" help:"Serve until SIGTERM; the default. EDGE_CONFIG names the platform's configuration."`
@@ -45,31 +45,31 @@
 
 func main() {
 	slog.SetDefault(logs.New(os.Stderr, slog.LevelInfo))
-	// Danger: SIGHUP ends a program that does not ask for it, so it is asked for before anything else.
+	// Danger: a SIGHUP without a handler ends the program, so the handler is installed before anything else.
 	signals := make(chan os.Signal, 16)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	os.Exit(run(os.Args[1:], os.Getenv, os.Stdout, signals))
 }
 
-// run carries a command line out and tells with which code the program ends.
+// run executes a command line and returns the exit code.
 func run(args []string, getenv func(string) string, out io.Writer, signals <-chan os.Signal) int {
-	var line commands
-	p, err := kong.New(&line, kong.Name("thymeway"), kong.Vars{"own": config.LocalFile}, kong.Writers(out, out),
+	var commandLine commands
+	parser, err := kong.New(&commandLine, kong.Name("thymeway"), kong.Vars{"own": config.LocalFile}, kong.Writers(out, out),
 		kong.Description("A coordinator in front of a fleet of query engines."))
 	if err != nil {
 		fmt.Fprintln(out, err)
 		return 1
 	}
-	ctx, err := p.Parse(args)
+	ctx, err := parser.Parse(args)
 	if err != nil {
 		fmt.Fprintf(out, "thymeway: %v; see thymeway --help\n", err)
 		return 2
 	}
-	own := line.Config
+	localFile := commandLine.Config
 	if getenv("THYMEWAY_INI") == "" && !strings.Contains(strings.Join(args, " "), "--config") {
-		own = config.LocalFile // kong makes an absolute path of it, which is no longer the one that may be missing
+		localFile = config.LocalFile // kong makes the default path absolute, but only this relative path may be missing
 	}
-	read := func() (config.Config, error) { return config.FromEnvironment(getenv, own) }
+	read := func() (config.Config, error) { return config.FromEnvironment(getenv, localFile) }
 	switch ctx.Command() {
 	case "check":
 		return check(read, getenv, out)
@@ -80,7 +80,7 @@
 	default:
 		c, err := readWithRetry(read)
 		if err != nil {
-			for _, f := range faults(err) {
+			for _, f := range splitErrors(err) {
 				slog.Error("configuration-refused", "error", f)
 			}
 			return 1
@@ -95,71 +95,74 @@
 	return 0
 }
 
-// readWithRetry reads a configuration, a few times where it can't be opened for a moment.
+// readWithRetry reads the configuration, and tries again a few times if it temporarily can't be opened.
 func readWithRetry(read func() (config.Config, error)) (c config.Config, err error) {
-	for range readTries {
+	for range maxReadAttempts {
 		if c, err = read(); err == nil || !config.Transient(err) {
 			break
 		}
-		time.Sleep(readPause)
+		time.Sleep(readRetryDelay)
 	}
 	return c, err
 }
 
-// faults are the single faults that an error joins.
-func faults(err error) (all []error) {
+// splitErrors returns the single errors that err joins, each with the prefix that wraps the joined error.
+func splitErrors(err error) (all []error) {
 	if joined, ok := err.(interface{ Unwrap() []error }); ok {
 		for _, e := range joined.Unwrap() {
-			all = append(all, faults(e)...)
+			all = append(all, splitErrors(e)...)
 		}
 		return all
 	}
-	next := errors.Unwrap(err)
-	if _, joined := next.(interface{ Unwrap() []error }); !joined {
+	wrapped := errors.Unwrap(err)
+	if _, joined := wrapped.(interface{ Unwrap() []error }); !joined {
 		return []error{err}
 	}
-	prefix := strings.TrimSuffix(err.Error(), next.Error())
-	for _, e := range faults(next) {
+	prefix := strings.TrimSuffix(err.Error(), wrapped.Error())
+	for _, e := range splitErrors(wrapped) {
 		all = append(all, fmt.Errorf("%s%w", prefix, e))
 	}
 	return all
 }
 
+// check reads the configuration, writes a summary or all faults to out, and returns the exit code.
 func check(read func() (config.Config, error), getenv func(string) string, out io.Writer) int {
 	c, err := read()
 	if err != nil {
-		for _, f := range faults(err) {
+		for _, f := range splitErrors(err) {
 			fmt.Fprintln(out, f)
 		}
 		return 1
 	}
-	fmt.Fprintf(out, "ok: %s serves %s with %d classes, %d tenants and %.0f MB\n", c.Name, c.Listen, len(c.Scheduler.Classes), len(c.Scheduler.Tenants), c.MemoryMB)
+	fmt.Fprintf(out, "ok: %s serves %s with %d classes, %d tenants and %.0f MB\n",
+		c.Name, c.Listen, len(c.Scheduler.Classes), len(c.Scheduler.Tenants), c.MemoryMB)
 	return 0
 }
 
-// version is what the build was made of.
+// version returns the program's name, the revision that it was built from and the Go version.
 func version() string {
-	v, info := "thymeway", map[string]string{}
-	b, ok := debug.ReadBuildInfo()
+	text, info := "thymeway", map[string]string{}
+	build, ok := debug.ReadBuildInfo()
 	if !ok {
-		return v
+		return text
 	}
-	for _, s := range b.Settings {
+	for _, s := range build.Settings {
 		info[s.Key] = s.Value
 	}
-	if r := info["vcs.revision"]; r != "" {
-		v += " " + r[:min(12, len(r))]
+	if revision := info["vcs.revision"]; revision != "" {
+		text += " " + revision[:min(12, len(revision))]
 		if info["vcs.modified"] == "true" {
-			v += "+changes"
+			text += "+changes"
 		}
 	}
-	return v + " " + b.GoVersion
+	return text + " " + build.GoVersion
 }
 
-// serve runs until SIGTERM, and on until all that was taken is answered. SIGHUP reads the configuration anew.
+// serve runs the coordinator until SIGTERM or SIGINT has arrived and all accepted requests are answered. SIGHUP reloads the
+// configuration.
 func serve(c config.Config, read func() (config.Config, error), signals <-chan os.Signal) error {
-	debug.SetMemoryLimit(int64(c.MemoryMB * memoryShare * (1 << 20)))
-	debug.SetGCPercent(garbage)
+	debug.SetMemoryLimit(int64(c.MemoryMB * memoryLimitShare * (1 << 20)))
+	debug.SetGCPercent(gcPercent)
 	queue := deadline.New()
 	now := clock.New().Now
 	loop := &net.Loop{Deadlines: queue, Now: now, ConnectTimeout: c.ConnectTimeout}
@@ -172,7 +175,8 @@
 	loop.Turn = n.Turn
 	loop.Exhausted = n.FreeDescriptor
 	loop.Ready = func() {
-		slog.Info("ready", "name", c.Name, "listen", strings.Join(n.Listen(), ","), "classes", len(c.Scheduler.Classes), "rss_kb", memory(os.Getpid(), "VmRSS"))
+		slog.Info("ready", "name", c.Name, "listen", strings.Join(n.Listen(), ","), "classes", len(c.Scheduler.Classes),
+			"rss_kb", processMemoryKB(os.Getpid(), "VmRSS"))
 		n.Watch.Start()
 	}
 	go func() {
@@ -191,29 +195,30 @@
 		if err != nil {
 			return fmt.Errorf("[metrics] listen: %w", err)
 		}
-		defer metrics.Server(l, copies(loop, n)).Close()
+		defer metrics.StartServer(l, snapshotFunc(loop, n)).Close()
 	}
 	err = loop.Run(n.Listen()...)
 	n.Close()
 	return err
 }
 
-// copies gives others than the loop what it counted. One asks at a time: who does not get his turn in time goes without.
-func copies(loop *net.Loop, n *node.Node) func(context.Context) (metrics.Snapshot, error) {
-	turn := make(chan struct{}, 1)
+// snapshotFunc returns a function with which other goroutines get a copy of the event loop's counters. Calls are served one at
+// a time; a call that is not served before its context ends returns the context's error.
+func snapshotFunc(loop *net.Loop, n *node.Node) func(context.Context) (metrics.Snapshot, error) {
+	inUse := make(chan struct{}, 1)
 	return func(ctx context.Context) (metrics.Snapshot, error) {
 		select {
-		case turn <- struct{}{}:
+		case inUse <- struct{}{}:
 		case <-ctx.Done():
 			return metrics.Snapshot{}, ctx.Err()
 		}
-		got := make(chan metrics.Snapshot, 1)
+		snapshots := make(chan metrics.Snapshot, 1)
 		loop.Do(func() {
-			got <- n.Snapshot()
-			<-turn
+			snapshots <- n.Snapshot()
+			<-inUse
 		})
 		select {
-		case s := <-got:
+		case s := <-snapshots:
 			return s, nil
 		case <-ctx.Done():
 			return metrics.Snapshot{}, ctx.Err()
@@ -221,8 +226,9 @@
 	}
 }
 
-// memory is a figure of a process's memory in KB, such as VmRSS, what is resident; 0 where the system does not tell.
-func memory(pid int, figure string) (kb int) {
+// processMemoryKB returns a memory figure from /proc/PID/status in KB, such as VmRSS, the resident memory. It returns 0 if the
+// figure is not available.
+func processMemoryKB(pid int, figure string) (kb int) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		return 0
--- a/cmd/thymeway/main_test.go
+++ b/cmd/thymeway/main_test.go
@@ -16,7 +16,7 @@
 	"thymeway/internal/conftest"
 )
 
-// listen gives a listener of the test's own, and its address.
+// listen returns a listener on a free local port, and its address.
 func listen(t testing.TB) (stdnet.Listener, string) {
 	l, err := stdnet.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -26,36 +26,36 @@
 	return l, l.Addr().String()
 }
 
-// configure writes the example's configuration with parts of it replaced, given as old and new by turns, and with
-// worker groups in place of its own unless there are none.
-func configure(t testing.TB, file string, members []string, pairs ...string) {
+// writeConfig writes the example configuration with parts replaced: pairs holds old and new texts in turn. groups replaces
+// the listed worker groups unless it is empty.
+func writeConfig(t testing.TB, file string, groups []string, pairs ...string) {
 	t.Helper()
-	s := string(conftest.ExampleText(t))
-	if len(members) > 0 {
-		s = regexp.MustCompile(`(?s)"members": \[.*?\]`).ReplaceAllLiteralString(s, `"members": [`+strings.Join(members, ",")+`]`)
+	text := string(conftest.ExampleText(t))
+	if len(groups) > 0 {
+		text = regexp.MustCompile(`(?s)"members": \[.*?\]`).ReplaceAllLiteralString(text, `"members": [`+strings.Join(groups, ",")+`]`)
 	}
 	for i := 0; i < len(pairs); i += 2 {
-		if !strings.Contains(s, pairs[i]) {
+		if !strings.Contains(text, pairs[i]) {
 			t.Fatalf("the example has no %s", pairs[i])
 		}
 	}
-	if err := os.WriteFile(file, []byte(strings.NewReplacer(pairs...).Replace(s)), 0o600); err != nil {
+	if err := os.WriteFile(file, []byte(strings.NewReplacer(pairs...).Replace(text)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// member is a worker group as the notice board names it.
-func member(id, addr string) string {
+// listedGroup returns a worker group in the form in which discovery lists it.
+func listedGroup(id, addr string) string {
 	return fmt.Sprintf(`{"id": %q, "host_port": %q, "locality": "room-a", "flavor": "std-12", "phase": "Ready", "size": 1, "up_since_ms": 0}`, id, addr)
 }
 
-// pgURL is what a PostgreSQL client is given.
+// pgURL returns the connection URL for PostgreSQL clients.
 func pgURL(addr string) string {
 	return "postgres://app@" + addr + "/lake?sslmode=disable&default_query_exec_mode=simple_protocol"
 }
 
-// watched waits for a connection and the line that asks for news behind an event.
-func watched(t *testing.T, l stdnet.Listener, rev int) stdnet.Conn {
+// acceptWatch accepts a connection on l and reads the request to watch for events after revision rev.
+func acceptWatch(t *testing.T, l stdnet.Listener, rev int) stdnet.Conn {
 	t.Helper()
 	_ = l.(*stdnet.TCPListener).SetDeadline(time.Now().Add(30 * time.Second))
 	c, err := l.Accept()
@@ -65,19 +65,20 @@
 	t.Cleanup(func() { _ = c.Close() })
 	line, err := bufio.NewReader(c).ReadString('\n')
 	if err != nil || line != fmt.Sprintf("watch %d\n", rev) {
-		t.Fatalf("the board hears %q, %v", line, err)
+		t.Fatalf("discovery received %q, %v", line, err)
 	}
 	return c
 }
 
-// SIGHUP makes the program ask the board that the file now names, and never ends it; SIGTERM does.
+// SIGHUP makes the program connect to the discovery service that the file now names. It never ends the program, even with an
+// invalid configuration; SIGTERM does.
 func TestSignals(t *testing.T) {
-	addr := free(t)
+	addr := freeAddr(t)
 	file := filepath.Join(t.TempDir(), "config.json")
 	t.Setenv("EDGE_CONFIG", file)
-	write := func(board string) { configure(t, file, nil, "127.0.0.1:8599", board, "127.0.0.1:5499", addr) }
-	one, at := listen(t)
-	write(at)
+	write := func(discovery string) { writeConfig(t, file, nil, "127.0.0.1:8599", discovery, "127.0.0.1:5499", addr) }
+	first, discoveryAddr := listen(t)
+	write(discoveryAddr)
 	read := func() (config.Config, error) { return config.FromEnvironment(os.Getenv, config.LocalFile) }
 	c, err := read()
 	if err != nil {
@@ -85,13 +86,13 @@
 	}
 	signals, ended := make(chan os.Signal, 16), make(chan error, 1)
 	go func() { ended <- serve(c, read, signals) }()
-	watched(t, one, 1)
+	acceptWatch(t, first, 1)
 	write("nowhere")
 	signals <- syscall.SIGHUP
-	two, at := listen(t)
-	write(at)
+	second, discoveryAddr := listen(t)
+	write(discoveryAddr)
 	signals <- syscall.SIGHUP
-	watched(t, two, 1)
+	acceptWatch(t, second, 1)
 	signals <- syscall.SIGTERM
 	signals <- syscall.SIGHUP
 	select {
--- a/cmd/thymeway/measure_test.go
+++ b/cmd/thymeway/measure_test.go
@@ -21,76 +21,79 @@
 	"thymeway/internal/standin"
 )
 
-// BenchmarkFronts asks for the same small result over each front and straight from the engine, by so many clients at a
-// time. CPU is that of the whole process: clients, coordinator and stand-in engine.
-func BenchmarkFronts(b *testing.B) {
+// BenchmarkProtocols requests the same small result over each client protocol, and directly from the engine, with 1 and 32
+// concurrent clients. The CPU time is that of the whole process: clients, coordinator and fake engine.
+func BenchmarkProtocols(b *testing.B) {
 	for _, clients := range []int{1, 32} {
-		for _, way := range []string{"direct", "postgres", "clickhouse"} {
-			b.Run(fmt.Sprintf("%s-%d", way, clients), func(b *testing.B) {
-				p := start(b, 1, nil)
-				ask := askers(b, p, way, clients)
+		for _, route := range []string{"direct", "postgres", "clickhouse"} {
+			b.Run(fmt.Sprintf("%s-%d", route, clients), func(b *testing.B) {
+				cluster := startCluster(b, 1, nil)
+				requests := requestFuncs(b, cluster, route, clients)
 				var mu sync.Mutex
-				var took []time.Duration
+				var latencies []time.Duration
 				var next atomic.Int64
-				before := cpu()
+				before := processCPUTime()
 				b.ResetTimer()
 				var done sync.WaitGroup
 				for c := range clients {
 					done.Add(1)
 					go func() {
 						defer done.Done()
-						var own []time.Duration
+						var ownLatencies []time.Duration
 						for n := next.Add(1); n <= int64(b.N); n = next.Add(1) {
 							from := time.Now()
-							if err := ask[c](n); err != nil {
+							if err := requests[c](n); err != nil {
 								b.Error(err)
 								return
 							}
-							own = append(own, time.Since(from))
+							ownLatencies = append(ownLatencies, time.Since(from))
 						}
 						mu.Lock()
-						took = append(took, own...)
+						latencies = append(latencies, ownLatencies...)
 						mu.Unlock()
 					}()
 				}
 				done.Wait()
 				b.StopTimer()
-				slices.Sort(took)
-				if len(took) > 0 {
-					b.ReportMetric(float64(took[len(took)/2].Microseconds()), "p50-us")
-					b.ReportMetric(float64(took[len(took)*99/100].Microseconds()), "p99-us")
+				slices.Sort(latencies)
+				if len(latencies) > 0 {
+					b.ReportMetric(float64(latencies[len(latencies)/2].Microseconds()), "p50-us")
+					b.ReportMetric(float64(latencies[len(latencies)*99/100].Microseconds()), "p99-us")
 				}
-				b.ReportMetric(float64((cpu()-before).Microseconds())/float64(b.N), "cpu-us/op")
+				b.ReportMetric(float64((processCPUTime()-before).Microseconds())/float64(b.N), "cpu-us/op")
 				b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "op/s")
 			})
 		}
 	}
 }
 
-func cpu() time.Duration {
+// processCPUTime returns the user and system CPU time of this process.
+func processCPUTime() time.Duration {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-func askers(b *testing.B, p *plant, way string, clients int) (all []func(n int64) error) {
+// requestFuncs returns one function per client, each with a connection of its own, that sends request n and reads its result.
+func requestFuncs(b *testing.B, cluster *testCluster, route string, clients int) (all []func(n int64) error) {
 	const text = "SELECT a, b, c FROM sales_3.t WHERE id = %d"
 	for range clients {
-		switch way {
+		switch route {
 		case "postgres":
-			conn, err := pgx.Connect(context.Background(), pgURL(p.pg))
+			conn, err := pgx.Connect(context.Background(), pgURL(cluster.pgAddr))
 			if err != nil {
 				b.Fatal(err)
 			}
 			b.Cleanup(func() { _ = conn.Close(context.Background()) })
 			all = append(all, func(n int64) error {
 				var x, y, z string
-				return conn.QueryRow(context.Background(), fmt.Sprintf("/* verb=lookup,txn=%016x,limit=3000,team=acme,cpu=5 */ "+text, n, n)).Scan(&x, &y, &z)
+				return conn.QueryRow(context.Background(), fmt.Sprintf("/* verb=lookup,txn=%016x,limit=3000,team=acme,cpu=5 */ "+text,
+					n, n)).Scan(&x, &y, &z)
 			})
 		default:
-			addr := p.http
-			if way == "direct" {
-				addr = p.addrs[0]
+			addr := cluster.httpAddr
+			if route == "direct" {
+				addr = cluster.engineAddrs[0]
 			}
 			client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 			b.Cleanup(client.CloseIdleConnections)
@@ -110,7 +113,8 @@
 	return all
 }
 
-// BenchmarkClientMemory tells what 300 idle and 300 open clients of the ClickHouse front take of the heap.
+// BenchmarkClientMemory reports the heap memory of a ClickHouse client, measured with 300 idle connections and with 300 open
+// requests.
 func BenchmarkClientMemory(b *testing.B) {
 	heap := func() float64 {
 		var m runtime.MemStats
@@ -123,11 +127,11 @@
 		{"open", "POST /?user=acme HTTP/1.1\r\nHost: x\r\nContent-Length: 38\r\n\r\nSELECT a FROM sales_17.orders -- slow  "}} {
 		b.Run(text.name, func(b *testing.B) {
 			for b.Loop() {
-				p := start(b, 1, func(int, int, string) standin.Fault { return standin.Fault{Slow: 5 * time.Second} })
+				cluster := startCluster(b, 1, func(int, int, string) standin.Fault { return standin.Fault{Delay: 5 * time.Second} })
 				before := heap()
 				var conns []stdnet.Conn
 				for range 300 {
-					c, err := stdnet.Dial("tcp", p.http)
+					c, err := stdnet.Dial("tcp", cluster.httpAddr)
 					if err != nil {
 						b.Fatal(err)
 					}
@@ -146,7 +150,7 @@
 				for _, c := range conns {
 					_ = c.Close()
 				}
-				p.stop()
+				cluster.stop()
 			}
 		})
 	}
--- a/examples/toy/main.go
+++ b/examples/toy/main.go
@@ -1,5 +1,5 @@
-// Command toy stands in for one worker group and for the notice board of examples/config.json, so that the
-// coordinator can be tried by hand. It answers every statement with three rows after a moment.
+// Command toy runs a fake worker group and a fake discovery service for examples/config.json, to try the coordinator by
+// hand. The worker group answers every statement with three rows after a short delay.
 package main
 
 import (
@@ -16,19 +16,19 @@
 
 func main() {
 	engine := flag.String("engine", "127.0.0.1:4101", "address of the worker group")
-	board := flag.String("board", "127.0.0.1:8599", "address of the notice board")
+	discoveryAddr := flag.String("board", "127.0.0.1:8599", "address of the notice board")
 	clickhouse := flag.Bool("clickhouse", false, "speak ClickHouse's HTTP interface instead, as examples/clickhouse.ini has it")
 	work := flag.Duration("work", 20*time.Millisecond, "time that a statement takes, under 250ms")
 	flag.Parse()
-	l, err := net.Listen("tcp", *board)
+	l, err := net.Listen("tcp", *discoveryAddr)
 	if err != nil {
 		log.Fatal(err)
 	}
-	go serveBoard(l)
+	go serveDiscovery(l)
 	if *clickhouse {
 		e := &standin.ClickHouse{Script: func(n int, text string) standin.Fault {
 			log.Printf("event=statement n=%d text=%q", n, text)
-			return standin.Fault{Slow: *work}
+			return standin.Fault{Delay: *work}
 		}}
 		if _, err := e.Start(*engine); err != nil {
 			log.Fatal(err)
@@ -46,13 +46,15 @@
 		fmt.Fprint(w, "mon\t1\tfirst\ntue\t2\tsecond\nwed\t3\tthird\n")
 	})
 	http.HandleFunc("DELETE /obj/{id}", func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(http.StatusNoContent) })
-	http.HandleFunc("GET /obj/{id}/{page}", func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(http.StatusInternalServerError) })
+	http.HandleFunc("GET /obj/{id}/{page}", func(w http.ResponseWriter, r *http.Request) {
+		w.WriteHeader(http.StatusInternalServerError)
+	})
 	http.HandleFunc("GET /busy", func(w http.ResponseWriter, r *http.Request) { w.Header().Set("X-Report", "util:0.10;queue:0") })
 	log.Fatal(http.ListenAndServe(*engine, nil))
 }
 
-// serveBoard writes the number of the last event each second; nothing ever changes here.
-func serveBoard(l net.Listener) {
+// serveDiscovery sends a line with the number of the last event each second. The list of worker groups never changes.
+func serveDiscovery(l net.Listener) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -1,5 +1,5 @@
-// Package logs sets the form of the program's log: a line of key=value text for each event, whose name stands under
-// event.
+// Package logs sets the format of the program's log: one line of key=value text per event, with the event's name under the
+// key "event".
 package logs
 
 import (
@@ -8,19 +8,20 @@
 	"log/slog"
 )
 
-// Trace writes a line of one request's life where the log's level is debug, and costs little where it is not.
+// Trace logs an event of the request with the given id at level debug. It costs little if that level is off.
 func Trace(event, id string, args ...any) {
 	if l := slog.Default(); l.Enabled(context.Background(), slog.LevelDebug) {
 		l.Debug(event, append([]any{"id", id}, args...)...)
 	}
 }
 
-// New returns a logger that writes lines of key=value text.
+// New returns a logger that writes lines of key=value text to w, from the given level up.
 func New(w io.Writer, level slog.Leveler) *slog.Logger {
-	return slog.New(slog.NewTextHandler(w, &slog.HandlerOptions{Level: level, ReplaceAttr: func(groups []string, a slog.Attr) slog.Attr {
-		if a.Key == slog.MessageKey && len(groups) == 0 {
-			a.Key = "event"
-		}
-		return a
-	}}))
+	return slog.New(slog.NewTextHandler(w, &slog.HandlerOptions{Level: level,
+		ReplaceAttr: func(groups []string, a slog.Attr) slog.Attr {
+			if a.Key == slog.MessageKey && len(groups) == 0 {
+				a.Key = "event"
+			}
+			return a
+		}}))
 }
--- a/internal/node/keep_test.go
+++ b/internal/node/keep_test.go
@@ -60,8 +60,8 @@
 	for _, x := range []struct {
 		b    []byte
 		want string
-	}{{whole[:len(whole)/2], "torn"}, {[]byte("something else"), "not a snapshot"}, {snapshot.Seal(shape.DumpKind, shape.DumpVersion+1, nil), "newer"},
-		{snapshot.Seal(shape.DumpKind, shape.DumpVersion, []byte("junk")), "can't be read"}} {
+	}{{whole[:len(whole)/2], "torn"}, {[]byte("something else"), "not a snapshot"}, {snapshot.Encode(shape.DumpKind, shape.DumpVersion+1, nil), "newer"},
+		{snapshot.Encode(shape.DumpKind, shape.DumpVersion, []byte("junk")), "can't be read"}} {
 		if err := os.WriteFile(c.Local.Shapes.File, x.b, 0o600); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -58,7 +58,7 @@
 	Shapes      *shape.Catalog
 	Clock       *clock.Monitor // nil: the wall clock is not watched
 	seats       *seats.Limiter
-	keeper      *snapshot.Keeper // nil: shapes are not kept
+	keeper      *snapshot.AsyncWriter // nil: shapes are not kept
 	fleet       *rest.Fleet
 	ch          *chengine.Fleet // nil: no engine speaks ClickHouse's interface
 	queue       *deadline.Queue
@@ -116,7 +116,7 @@
 }
 
 // remember fills a Book from its file, if there is to be one. What can't be believed is told, and the Book stays empty.
-func remember(book *shape.Catalog, s config.Shapes) *snapshot.Keeper {
+func remember(book *shape.Catalog, s config.Shapes) *snapshot.AsyncWriter {
 	if s.File == "" {
 		return nil
 	}
@@ -130,7 +130,7 @@
 	} else {
 		slog.Info("shapes-loaded", "file", s.File, "shapes", count)
 	}
-	return snapshot.NewKeeper(s.File, shape.DumpKind, shape.DumpVersion)
+	return snapshot.NewAsyncWriter(s.File, shape.DumpKind, shape.DumpVersion)
 }
 
 // keep has the shapes written down now and then, a few in a turn.
@@ -162,19 +162,19 @@
 
 // Snapshot is a copy of what is counted, for others than the loop.
 func (n *Node) Snapshot() metrics.Snapshot {
-	s := metrics.Snapshot{Accounts: n.Coordinator.Accounts.Rows(), Shapes: n.Shapes.Stats(), Doubts: map[string]uint64{},
-		Owed: n.Coordinator.Unanswered(), Out: n.out(), Clients: n.seats.Count(),
-		Repeats: n.Coordinator.RetryReasons.Rows(), GivenUp: n.Coordinator.UnservedReasons.Rows()}
+	s := metrics.Snapshot{Accounts: n.Coordinator.Accounts.Rows(), Shapes: n.Shapes.Stats(), Unproven: map[string]uint64{},
+		Unanswered: n.Coordinator.Unanswered(), InFlight: n.out(), ClientConnections: n.seats.Count(),
+		RetryReasons: n.Coordinator.RetryReasons.Rows(), UnservedReasons: n.Coordinator.UnservedReasons.Rows()}
 	if n.Clock != nil {
 		s.Clock = n.Clock.State()
 	}
-	s.Surges = map[string]surge.State{"": n.Coordinator.StormState("")}
+	s.StormStates = map[string]surge.State{"": n.Coordinator.StormState("")}
 	for _, t := range n.config.Scheduler.Tenants {
-		s.Surges[t.Name] = n.Coordinator.StormState(t.Name)
+		s.StormStates[t.Name] = n.Coordinator.StormState(t.Name)
 	}
 	for d := shape.NoReason + 1; d < shape.NumReasons; d++ {
 		if k := n.Coordinator.Unproven(d); k > 0 {
-			s.Doubts[d.String()] = k
+			s.Unproven[d.String()] = k
 		}
 	}
 	return s
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -1,5 +1,5 @@
-// Package snapshot keeps state in files over a restart. A file is whole or it is not believed: it carries what it is
-// of, its version and a checksum, and a new one takes the place of the old one in one step.
+// Package snapshot stores state in files that survive a restart. A file holds its kind, version and a checksum, and is
+// rejected unless it is complete and unaltered. A new file replaces the old one atomically.
 package snapshot
 
 import (
@@ -14,83 +14,84 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Why a file is not believed.
+// Reasons for which a file is rejected.
 var (
-	ErrForeign = errors.New("not a snapshot of this kind")
-	ErrTorn    = errors.New("torn or altered: length or checksum is wrong")
-	ErrNewer   = errors.New("written by a newer version")
-	ErrOlder   = errors.New("written by an older version that is no longer read")
-	ErrLarge   = errors.New("larger than it may be")
+	ErrWrongKind    = errors.New("not a snapshot of this kind")
+	ErrCorrupt      = errors.New("torn or altered: length or checksum is wrong")
+	ErrNewerVersion = errors.New("written by a newer version")
+	ErrOlderVersion = errors.New("written by an older version that is no longer read")
+	ErrTooLarge     = errors.New("larger than it may be")
 )
 
 const (
-	magic  = "thymeway\x00\r\n\x1a"
-	kindAt = len(magic)
-	kindOf = 16 // bytes of a kind's name, filled up with zeros
-	sizeAt = kindAt + kindOf + 2
-	head   = sizeAt + 8
-	tail   = 8 // the checksum of all before it
+	magic        = "thymeway\x00\r\n\x1a"
+	kindOffset   = len(magic)
+	kindSize     = 16 // bytes of the kind's name, padded with zeros
+	lengthOffset = kindOffset + kindSize + 2
+	headerSize   = lengthOffset + 8
+	checksumSize = 8 // xxh3 of all bytes before it
 )
 
-// Seal makes a file's bytes of a payload.
-func Seal(kind string, version uint16, payload []byte) []byte {
-	b := make([]byte, head, head+len(payload)+tail)
+// Encode returns the bytes of a file with the given payload.
+func Encode(kind string, version uint16, payload []byte) []byte {
+	b := make([]byte, headerSize, headerSize+len(payload)+checksumSize)
 	copy(b, magic)
-	copy(b[kindAt:kindAt+kindOf], kind)
-	binary.LittleEndian.PutUint16(b[kindAt+kindOf:], version)
-	binary.LittleEndian.PutUint64(b[sizeAt:], uint64(len(payload)))
+	copy(b[kindOffset:kindOffset+kindSize], kind)
+	binary.LittleEndian.PutUint16(b[kindOffset+kindSize:], version)
+	binary.LittleEndian.PutUint64(b[lengthOffset:], uint64(len(payload)))
 	b = append(b, payload...)
 	return binary.LittleEndian.AppendUint64(b, xxh3.Hash(b))
 }
 
-// Open gives the payload of a file's bytes. What is of another kind or version is told as that even if it is torn too:
-// its own form may be another.
-func Open(b []byte, kind string, version uint16) ([]byte, error) {
-	var name [kindOf]byte
+// Decode returns the payload of a file's bytes. A wrong kind or version is reported before a wrong length or checksum,
+// because files of other kinds and versions may have another layout.
+func Decode(b []byte, kind string, version uint16) ([]byte, error) {
+	var name [kindSize]byte
 	copy(name[:], kind)
 	switch {
 	case len(b) < len(magic) || string(b[:len(magic)]) != magic:
 		if len(b) < len(magic) && string(b) == magic[:len(b)] {
-			return nil, ErrTorn
+			return nil, ErrCorrupt
 		}
-		return nil, ErrForeign
-	case len(b) < head:
-		return nil, ErrTorn
-	case string(b[kindAt:kindAt+kindOf]) != string(name[:]):
-		return nil, ErrForeign
+		return nil, ErrWrongKind
+	case len(b) < headerSize:
+		return nil, ErrCorrupt
+	case string(b[kindOffset:kindOffset+kindSize]) != string(name[:]):
+		return nil, ErrWrongKind
 	}
-	switch v := binary.LittleEndian.Uint16(b[kindAt+kindOf:]); {
-	case v > version:
-		return nil, fmt.Errorf("%w: %d, this one reads %d", ErrNewer, v, version)
-	case v < version:
-		return nil, fmt.Errorf("%w: %d, this one reads %d", ErrOlder, v, version)
+	switch found := binary.LittleEndian.Uint16(b[kindOffset+kindSize:]); {
+	case found > version:
+		return nil, fmt.Errorf("%w: %d, this one reads %d", ErrNewerVersion, found, version)
+	case found < version:
+		return nil, fmt.Errorf("%w: %d, this one reads %d", ErrOlderVersion, found, version)
 	}
-	size := binary.LittleEndian.Uint64(b[sizeAt:])
-	if size != uint64(len(b)-head-min(tail, len(b)-head)) || len(b) < head+tail ||
-		binary.LittleEndian.Uint64(b[len(b)-tail:]) != xxh3.Hash(b[:len(b)-tail]) {
-		return nil, ErrTorn
+	length := binary.LittleEndian.Uint64(b[lengthOffset:])
+	if length != uint64(len(b)-headerSize-min(checksumSize, len(b)-headerSize)) || len(b) < headerSize+checksumSize ||
+		binary.LittleEndian.Uint64(b[len(b)-checksumSize:]) != xxh3.Hash(b[:len(b)-checksumSize]) {
+		return nil, ErrCorrupt
 	}
-	return b[head : len(b)-tail], nil
+	return b[headerSize : len(b)-checksumSize], nil
 }
 
-// Read gives the payload of a file of at most so many bytes. A file that is not there is os.ErrNotExist.
-func Read(path, kind string, version uint16, most int64) ([]byte, error) {
+// Read returns the payload of a file. It fails with os.ErrNotExist if the file does not exist, and with ErrTooLarge if it
+// exceeds maxBytes.
+func Read(path, kind string, version uint16, maxBytes int64) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	b, err := io.ReadAll(io.LimitReader(f, most+1))
+	b, err := io.ReadAll(io.LimitReader(f, maxBytes+1))
 	switch {
 	case err != nil:
 		return nil, err
-	case int64(len(b)) > most:
-		return nil, fmt.Errorf("%w: over %d bytes", ErrLarge, most)
+	case int64(len(b)) > maxBytes:
+		return nil, fmt.Errorf("%w: over %d bytes", ErrTooLarge, maxBytes)
 	}
-	return Open(b, kind, version)
+	return Decode(b, kind, version)
 }
 
-// Write puts bytes into a file in one step: they are written to a file beside it, brought to the disk and renamed.
+// Write replaces a file atomically: it writes b to a temporary file in the same folder, syncs it and renames it.
 func Write(path string, b []byte) (err error) {
 	dir := filepath.Dir(path)
 	f, err := os.CreateTemp(dir, filepath.Base(path)+".new-*")
@@ -98,7 +99,7 @@
 		return err
 	}
 	defer func() {
-		if err != nil { // danger: what could not be finished must not fill the disk
+		if err != nil { // Danger: temporary files left behind by failed writes would fill the disk.
 			_ = os.Remove(f.Name())
 		}
 	}()
@@ -106,8 +107,8 @@
 	if err == nil {
 		err = f.Sync()
 	}
-	if e := f.Close(); err == nil {
-		err = e
+	if closeErr := f.Close(); err == nil {
+		err = closeErr
 	}
 	if err == nil {
 		err = os.Rename(f.Name(), path)
@@ -115,30 +116,30 @@
 	if err != nil {
 		return err
 	}
-	if d, e := os.Open(dir); e == nil { // the new name has to last as well
-		_ = d.Sync()
-		_ = d.Close()
+	if folder, openErr := os.Open(dir); openErr == nil { // sync the folder too, or the rename may be lost in a power failure
+		_ = folder.Sync()
+		_ = folder.Close()
 	}
 	return nil
 }
 
-// Keeper writes snapshots of one file from a goroutine of its own, so that no disk holds its owner up. One that waits
-// gives way to a newer one.
-type Keeper struct {
+// AsyncWriter writes the snapshots of one file in a separate goroutine, so that a slow disk does not block the caller. A
+// snapshot that still waits to be written is replaced by a newer one.
+type AsyncWriter struct {
 	path    string
 	kind    string
 	version uint16
-	next    chan []byte
+	pending chan []byte
 	done    chan struct{}
 }
 
-// NewKeeper starts a keeper of a file.
-func NewKeeper(path, kind string, version uint16) *Keeper {
-	k := &Keeper{path: path, kind: kind, version: version, next: make(chan []byte, 1), done: make(chan struct{})}
+// NewAsyncWriter starts the goroutine that writes to path. Close ends it.
+func NewAsyncWriter(path, kind string, version uint16) *AsyncWriter {
+	k := &AsyncWriter{path: path, kind: kind, version: version, pending: make(chan []byte, 1), done: make(chan struct{})}
 	go func() {
 		defer close(k.done)
-		for payload := range k.next {
-			if err := Write(k.path, Seal(k.kind, k.version, payload)); err != nil {
+		for payload := range k.pending {
+			if err := Write(k.path, Encode(k.kind, k.version, payload)); err != nil {
 				slog.Error("snapshot-failed", "file", k.path, "error", err)
 			}
 		}
@@ -146,23 +147,23 @@
 	return k
 }
 
-// Save hands a payload over, which must not be changed any more. It never waits.
-func (k *Keeper) Save(payload []byte) {
+// Save queues a payload, which the caller must not change afterwards. It never blocks.
+func (k *AsyncWriter) Save(payload []byte) {
 	for {
 		select {
-		case k.next <- payload:
+		case k.pending <- payload:
 			return
 		default:
 		}
 		select {
-		case <-k.next: // the older one that waits
+		case <-k.pending: // drops the older payload that still waits
 		default:
 		}
 	}
 }
 
-// Close waits for what was handed over to be written.
-func (k *Keeper) Close() {
-	close(k.next)
+// Close waits until the last queued payload is written, and ends the goroutine.
+func (k *AsyncWriter) Close() {
+	close(k.pending)
 	<-k.done
 }
--- a/internal/standin/clickhouse.go
+++ b/internal/standin/clickhouse.go
@@ -1,5 +1,5 @@
-// Package standin holds small servers that stand in for those that the coordinator meets, with faults by script. They
-// serve tests and examples, and know nothing of the coordinator.
+// Package standin provides small fake servers of the kinds that the coordinator connects to: engines, worker groups and
+// discovery. Their faults are scripted. They are used by tests and examples and do not depend on the coordinator.
 package standin
 
 import (
@@ -15,49 +15,50 @@
 	"time"
 )
 
-// Fault is what goes wrong with a query.
+// Fault describes how the engine processes a query. The zero value answers it at once with a result.
 type Fault struct {
-	Slow    time.Duration // before its answer
-	Busy    bool          // turned away unseen, with code 202
-	Fail    int           // an exception of this code, ahead of the status
-	Behind  bool          // an exception behind a status of 200 and some rows
-	Half    bool          // half a row, and a good end
-	Reset   bool          // it runs, and the connection is reset without an answer
-	Silent  bool          // it runs, and no answer comes
-	Garbled bool          // an answer that is no HTTP
-	Deaf    bool          // KILL QUERY does not end it
-	Drop    bool          // the connection breaks at once, and it runs on
+	Delay           time.Duration // time between the query and its answer
+	TooManyQueries  bool          // rejected without being run, with exception 202
+	ExceptionCode   int           // if not 0, the answer is this exception with status 500
+	LateException   bool          // status 200 and some rows, followed by an exception
+	TruncatedRow    bool          // the last row is cut, but the response ends normally
+	ConnReset       bool          // the query runs, then the connection is reset without an answer
+	NoAnswer        bool          // the query runs until it is killed, without an answer
+	MalformedAnswer bool          // the answer is not valid HTTP
+	IgnoreKill      bool          // KILL QUERY does not stop the query
+	CloseConn       bool          // the connection closes at once, and the query goes on running
 }
 
-// Run is a query that an engine ran.
+// Run is a query that an engine runs or has run.
 type Run struct {
 	ID, Text, Data, Token string
 	Params                map[string]string
-	Begun, Ended          int // by the clock; Ended 0: it runs
+	StartedAt, EndedAt    int // ticks of the engine's logical clock; EndedAt is 0 while the query runs
 	Killed                bool
 }
 
-// Clock counts the begins and ends of runs, over all engines that share it.
-type Clock struct{ n atomic.Int64 }
+// LogicalClock numbers the starts and ends of runs, across all engines that share it.
+type LogicalClock struct{ ticks atomic.Int64 }
 
-func (c *Clock) tick() int { return int(c.n.Add(1)) }
+func (c *LogicalClock) tick() int { return int(c.ticks.Add(1)) }
 
-// ClickHouse is an engine that speaks the HTTP interface: enough of it for tests. Its tables hold what the text asks for.
+// ClickHouse is a fake engine that implements as much of the ClickHouse HTTP interface as the tests need. It has no tables:
+// the result depends on the statement's text alone.
 type ClickHouse struct {
-	// Script gives a query's fault, by its number from 1 and its text.
+	// Script returns the fault of the n-th query, counted from 1. If it is nil, no query has a fault.
 	Script func(n int, text string) Fault
 
-	Clock *Clock // nil: one of its own
+	Clock *LogicalClock // if nil, Start creates one
 
-	mu      sync.Mutex
-	runs    []*Run
-	running map[string]chan struct{} // closed by KILL QUERY
-	deaf    map[string]bool
-	server  *http.Server
-	addr    string
+	mu          sync.Mutex
+	runs        []*Run
+	running     map[string]chan struct{} // by query ID; KILL QUERY closes the channel
+	ignoresKill map[string]bool
+	server      *http.Server
+	addr        string
 }
 
-// Start listens on an address of the machine's own, or on a free one if it is empty.
+// Start listens on addr, or on a free local port if it is empty, and returns the address.
 func (c *ClickHouse) Start(addr string) (string, error) {
 	if addr == "" {
 		addr = "127.0.0.1:0"
@@ -67,19 +68,19 @@
 		return "", err
 	}
 	if c.Clock == nil {
-		c.Clock = &Clock{}
+		c.Clock = &LogicalClock{}
 	}
-	c.running, c.deaf = map[string]chan struct{}{}, map[string]bool{}
+	c.running, c.ignoresKill = map[string]chan struct{}{}, map[string]bool{}
 	c.server = &http.Server{Handler: c}
 	go func() { _ = c.server.Serve(l) }()
 	c.addr = l.Addr().String()
 	return c.addr, nil
 }
 
-// Stop ends the engine and all its connections.
+// Stop closes the listener and all connections.
 func (c *ClickHouse) Stop() { _ = c.server.Close() }
 
-// Runs are all queries so far.
+// Runs returns copies of all runs so far.
 func (c *ClickHouse) Runs() []Run {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -91,16 +92,16 @@
 }
 
 var (
-	killText    = regexp.MustCompile(`^KILL QUERY WHERE query_id = '([^']*)'`)
-	processText = regexp.MustCompile(`FROM system\.processes WHERE query_id = '([^']*)'`)
-	numbersText = regexp.MustCompile(`FROM numbers\((\d+)\)`)
+	killPattern      = regexp.MustCompile(`^KILL QUERY WHERE query_id = '([^']*)'`)
+	processesPattern = regexp.MustCompile(`FROM system\.processes WHERE query_id = '([^']*)'`)
+	numbersPattern   = regexp.MustCompile(`FROM numbers\((\d+)\)`)
 )
 
-// ServeHTTP answers one request.
+// ServeHTTP answers pings, KILL QUERY, queries of system.processes, and any other statement by the script.
 func (c *ClickHouse) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
-	v := r.URL.Query()
-	text, data := v.Get("query"), ""
+	params := r.URL.Query()
+	text, data := params.Get("query"), ""
 	if text == "" {
 		text = string(body)
 	} else {
@@ -110,48 +111,51 @@
 		_, _ = io.WriteString(w, "Ok.\n")
 		return
 	}
-	if m := killText.FindStringSubmatch(text); m != nil {
+	if m := killPattern.FindStringSubmatch(text); m != nil {
 		c.mu.Lock()
-		if stop := c.running[m[1]]; stop != nil && !c.deaf[m[1]] {
+		if stop := c.running[m[1]]; stop != nil && !c.ignoresKill[m[1]] {
 			close(stop)
 			delete(c.running, m[1])
 		}
 		c.mu.Unlock()
 		return
 	}
-	if m := processText.FindStringSubmatch(text); m != nil {
+	if m := processesPattern.FindStringSubmatch(text); m != nil {
 		c.mu.Lock()
-		n := 0
-		for _, x := range c.runs {
-			if x.ID == m[1] && x.Ended == 0 {
-				n++
+		running := 0
+		for _, run := range c.runs {
+			if run.ID == m[1] && run.EndedAt == 0 {
+				running++
 			}
 		}
 		c.mu.Unlock()
-		fmt.Fprintf(w, "%d\n", n)
+		fmt.Fprintf(w, "%d\n", running)
 		return
 	}
-	c.query(w, r, v.Get("query_id"), text, data)
+	c.execute(w, r, params.Get("query_id"), text, data)
 }
 
-func exception(w http.ResponseWriter, status, code int, text string) {
+// writeException answers with an exception in ClickHouse's format.
+func writeException(w http.ResponseWriter, status, code int, text string) {
 	w.Header().Set("X-ClickHouse-Exception-Code", strconv.Itoa(code))
 	w.WriteHeader(status)
 	fmt.Fprintf(w, "Code: %d. DB::Exception: %s\n", code, text)
 }
 
-func (c *ClickHouse) query(w http.ResponseWriter, r *http.Request, id, text, data string) {
+// execute runs one statement with the fault that the script names.
+func (c *ClickHouse) execute(w http.ResponseWriter, r *http.Request, id, text, data string) {
 	c.mu.Lock()
-	var f Fault
+	var fault Fault
 	if c.Script != nil {
-		f = c.Script(len(c.runs)+1, text)
+		fault = c.Script(len(c.runs)+1, text)
 	}
-	if f.Busy {
+	if fault.TooManyQueries {
 		c.mu.Unlock()
-		exception(w, 500, 202, "Too many simultaneous queries. Maximum: 100. (TOO_MANY_SIMULTANEOUS_QUERIES)")
+		writeException(w, 500, 202, "Too many simultaneous queries. Maximum: 100. (TOO_MANY_SIMULTANEOUS_QUERIES)")
 		return
 	}
-	run := &Run{ID: id, Text: text, Data: data, Token: r.URL.Query().Get("insert_deduplication_token"), Begun: c.Clock.tick(), Params: map[string]string{}}
+	run := &Run{ID: id, Text: text, Data: data, Token: r.URL.Query().Get("insert_deduplication_token"), StartedAt: c.Clock.tick(),
+		Params: map[string]string{}}
 	for name, value := range r.URL.Query() {
 		if strings.HasPrefix(name, "param_") {
 			run.Params[name[6:]] = value[0]
@@ -159,70 +163,72 @@
 	}
 	c.runs = append(c.runs, run)
 	stop := make(chan struct{})
-	c.running[id], c.deaf[id] = stop, f.Deaf
+	c.running[id], c.ignoresKill[id] = stop, fault.IgnoreKill
 	c.mu.Unlock()
-	if f.Drop {
+	if fault.CloseConn {
 		if conn, _, err := w.(http.Hijacker).Hijack(); err == nil {
 			_ = conn.Close()
 		}
 	}
 	killed := false
 	select {
-	case <-time.After(f.Slow):
+	case <-time.After(fault.Delay):
 	case <-stop:
 		killed = true
 	}
-	if f.Silent && !killed {
+	if fault.NoAnswer && !killed {
 		<-stop
 		killed = true
 	}
 	c.mu.Lock()
-	run.Ended, run.Killed = c.Clock.tick(), killed
+	run.EndedAt, run.Killed = c.Clock.tick(), killed
 	delete(c.running, id)
 	c.mu.Unlock()
 	switch {
-	case f.Drop:
+	case fault.CloseConn:
 	case killed:
-		exception(w, 500, 394, "Query was cancelled. (QUERY_WAS_CANCELLED)")
-	case f.Fail > 0:
-		exception(w, 500, f.Fail, "as the script says")
-	case f.Reset, f.Garbled:
+		writeException(w, 500, 394, "Query was cancelled. (QUERY_WAS_CANCELLED)")
+	case fault.ExceptionCode > 0:
+		writeException(w, 500, fault.ExceptionCode, "as the script says")
+	case fault.ConnReset, fault.MalformedAnswer:
 		conn, _, err := w.(http.Hijacker).Hijack()
 		if err != nil {
 			return
 		}
-		if f.Garbled {
+		if fault.MalformedAnswer {
 			_, _ = io.WriteString(conn, "HTTP/1.1 2000 noise\r\n\x00\r\n\r\n")
-		} else if t, ok := conn.(*net.TCPConn); ok {
-			_ = t.SetLinger(0)
+		} else if tcp, ok := conn.(*net.TCPConn); ok {
+			_ = tcp.SetLinger(0)
 		}
 		_ = conn.Close()
 	default:
 		w.Header().Set("X-ClickHouse-Summary", `{"read_rows":"1","elapsed_ns":"7000000","memory_usage":"4194304"}`)
-		out := rows(text)
-		if f.Behind {
-			out += "Code: 241. DB::Exception: Memory limit exceeded. (MEMORY_LIMIT_EXCEEDED)\n"
+		result := resultOf(text)
+		if fault.LateException {
+			result += "Code: 241. DB::Exception: Memory limit exceeded. (MEMORY_LIMIT_EXCEEDED)\n"
 		}
-		if f.Half {
-			out = out[:len(out)-3]
+		if fault.TruncatedRow {
+			result = result[:len(result)-3]
 		}
-		_, _ = io.WriteString(w, out)
+		_, _ = io.WriteString(w, result)
 	}
 }
 
-// typed is a row with a value of most types.
-const typed = "s\tu\ti\tf\td\tt\tt3\tn\tl\te\tdec\tid\tb\n" +
+// typedResult is a result of one row with a column of each of the common types.
+const typedResult = "s\tu\ti\tf\td\tt\tt3\tn\tl\te\tdec\tid\tb\n" +
 	"String\tUInt64\tInt32\tFloat64\tDate\tDateTime\tDateTime64(3)\tNullable(String)\tLowCardinality(String)\tEnum8('a' = 1, 'b' = 2)\tDecimal(9, 2)\tUUID\tBool\n" +
 	"it\\'s\\ta \\\\ tab\t18446744073709551615\t-5\t1.5\t2026-12-01\t2026-12-01 10:20:30\t2026-12-01 10:20:30.125\t\\N\tlow\tb\t-12.30\t61f0c404-5cb3-11e7-907b-a6006ad3dba0\ttrue\n"
 
-// rows are an answer in TabSeparatedWithNamesAndTypes.
-func rows(text string) string {
-	up := strings.ToUpper(strings.TrimSpace(text))
-	switch m := numbersText.FindStringSubmatch(text); {
-	case strings.HasPrefix(up, "INSERT"), strings.HasPrefix(up, "ALTER"), strings.HasPrefix(up, "CREATE"), strings.HasPrefix(up, "DROP"):
+// resultOf returns the result of a statement in the format TabSeparatedWithNamesAndTypes.
+func resultOf(text string) string {
+	upper := strings.ToUpper(strings.TrimSpace(text))
+	switch m := numbersPattern.FindStringSubmatch(text); {
+	case strings.HasPrefix(upper, "INSERT"), strings.HasPrefix(upper, "ALTER"),
+		strings.HasPrefix(upper, "CREATE"), strings.HasPrefix(upper, "DROP"):
 		return ""
-	case strings.HasPrefix(up, "DESCRIBE"):
-		return "name\ttype\tdefault_type\tdefault_expression\tcomment\tcodec_expression\tttl_expression\n" + strings.Repeat("String\t", 6) + "String\n" +
+	case strings.HasPrefix(upper, "DESCRIBE"):
+		return "name\ttype\tdefault_type\tdefault_expression\tcomment\tcodec_expression\tttl_expression\n" +
+			strings.Repeat("String\t", 6) + "String\n" +
 			"a\tUInt32\t\t\t\t\t\nb\tString\t\t\t\t\t\n"
 	case m != nil:
 		n, _ := strconv.Atoi(m[1])
@@ -233,7 +239,7 @@
 		}
 		return b.String()
 	case strings.Contains(text, "typed"):
-		return typed
+		return typedResult
 	}
 	return "a\tb\tc\nString\tString\tString\nx\ty\tz\n"
 }
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -9,30 +9,30 @@
 	"time"
 )
 
-// heartbeat is the time between two lines of discovery.
-const heartbeat = time.Second
+// heartbeatInterval is the time between the heartbeat lines on a connection.
+const heartbeatInterval = time.Second
 
-// Discovery tells coordinators of worker groups, an event a line.
+// Discovery is a fake discovery service. It sends changes of the listed worker groups to coordinators, one event per line.
 type Discovery struct {
-	mu       sync.Mutex
-	last     int // number of the last event
-	events   map[int]string
-	conns    map[net.Conn]bool
-	listener net.Listener
+	mu           sync.Mutex
+	lastRevision int // of the last event
+	events       map[int]string
+	conns        map[net.Conn]bool
+	listener     net.Listener
 }
 
-// Start listens on a free address. Events up to last are known to those who ask.
+// Start listens on a free local port and returns its address. last is the revision that the coordinators already know.
 func (d *Discovery) Start(last int) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
-	d.listener, d.last, d.events, d.conns = l, last, map[int]string{}, map[net.Conn]bool{}
+	d.listener, d.lastRevision, d.events, d.conns = l, last, map[int]string{}, map[net.Conn]bool{}
 	go d.accept()
 	return l.Addr().String(), nil
 }
 
-// Stop ends discovery and all its connections.
+// Stop closes the listener and all connections.
 func (d *Discovery) Stop() {
 	_ = d.listener.Close()
 	d.mu.Lock()
@@ -42,19 +42,20 @@
 	}
 }
 
-// Publish tells of members that have changed, each as the JSON object of the protocol.
-func (d *Discovery) Publish(members ...string) {
+// Publish sends one event with the given changed worker groups, each as a JSON object of the discovery protocol.
+func (d *Discovery) Publish(groups ...string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.last++
-	d.events[d.last] = fmt.Sprintf(`{"rev":%d,"pool":{"revision":%d,"complete":false,"members":[%s]}}`, d.last, d.last, strings.Join(members, ","))
+	d.lastRevision++
+	d.events[d.lastRevision] = fmt.Sprintf(`{"rev":%d,"pool":{"revision":%d,"complete":false,"members":[%s]}}`,
+		d.lastRevision, d.lastRevision, strings.Join(groups, ","))
 	for c := range d.conns {
-		_, _ = fmt.Fprintln(c, d.events[d.last])
+		_, _ = fmt.Fprintln(c, d.events[d.lastRevision])
 	}
 }
 
-// Watched tells whether a coordinator follows.
-func (d *Discovery) Watched() bool {
+// HasWatcher reports whether a coordinator watches this service.
+func (d *Discovery) HasWatcher() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.conns) > 0
@@ -70,23 +71,24 @@
 	}
 }
 
+// serve reads the watch request of a connection, sends the events after its revision, and then a heartbeat each second.
 func (d *Discovery) serve(c net.Conn) {
 	defer c.Close()
 	line, err := bufio.NewReader(c).ReadString('\n')
-	var known int
-	if _, fault := fmt.Sscanf(line, "watch %d", &known); err != nil || fault != nil {
+	var revision int
+	if _, scanErr := fmt.Sscanf(line, "watch %d", &revision); err != nil || scanErr != nil {
 		return
 	}
 	d.mu.Lock()
-	for n := known + 1; n <= d.last; n++ {
+	for n := revision + 1; n <= d.lastRevision; n++ {
 		_, _ = fmt.Fprintln(c, d.events[n])
 	}
 	d.conns[c] = true
 	d.mu.Unlock()
 	for {
-		time.Sleep(heartbeat)
+		time.Sleep(heartbeatInterval)
 		d.mu.Lock()
-		_, err := fmt.Fprintln(c, d.last)
+		_, err := fmt.Fprintln(c, d.lastRevision)
 		if err != nil {
 			delete(d.conns, c)
 		}
--- a/internal/standin/workergroup.go
+++ b/internal/standin/workergroup.go
@@ -9,27 +9,27 @@
 	"time"
 )
 
-// holdNews is for how long a worker group holds a call for the news of a query that runs.
-const holdNews = 250 * time.Millisecond
+// pollTimeout is how long a call waits for the end of a running query before it is answered with status 202.
+const pollTimeout = 250 * time.Millisecond
 
-// Query is one that a worker group was sent.
+// Query is a query that a worker group received.
 type Query struct {
 	ID, Class, ReplayKey, Statement string
 	Budget                          time.Duration
-	Came                            time.Time
+	ReceivedAt                      time.Time
 }
 
-// Answer is how a query ends.
+// Answer describes how a query ends.
 type Answer struct {
-	After    time.Duration   // that the query runs for
-	Until    <-chan struct{} // in place of After: it runs until this is closed
-	Status   int             // 0: 200, with one row
+	RunTime  time.Duration   // of the query
+	Until    <-chan struct{} // if not nil, the query runs until this is closed, and RunTime is ignored
+	Status   int             // 0 stands for 200 with a result of one row
 	NoEffect bool
 }
 
-// WorkerGroup speaks the worker groups' protocol: enough of it for tests. Results have one page.
+// WorkerGroup is a fake worker group that implements as much of the REST protocol as the tests need. Results have one page.
 type WorkerGroup struct {
-	// Script tells how a query ends; nil: at once, and well.
+	// Script returns how a query ends. If it is nil, each query succeeds at once.
 	Script func(q Query) Answer
 
 	mu      sync.Mutex
@@ -38,21 +38,22 @@
 	server  *http.Server
 }
 
-// run is a query's life on a worker group.
+// run is the execution of a query.
 type run struct {
-	over   chan struct{} // closed at its end
+	done   chan struct{} // closed when the query has ended
 	once   sync.Once
 	answer Answer
 }
 
-func (r *run) end(a Answer) {
+// finish ends the run with an answer. Only the first call has an effect.
+func (r *run) finish(answer Answer) {
 	r.once.Do(func() {
-		r.answer = a
-		close(r.over)
+		r.answer = answer
+		close(r.done)
 	})
 }
 
-// Start listens on an address of the machine's own, or on a free one if it is empty.
+// Start listens on addr, or on a free local port if it is empty, and returns the address.
 func (w *WorkerGroup) Start(addr string) (string, error) {
 	if addr == "" {
 		addr = "127.0.0.1:0"
@@ -71,10 +72,10 @@
 	return l.Addr().String(), nil
 }
 
-// Stop ends the worker group and all its connections.
+// Stop closes the listener and all connections.
 func (w *WorkerGroup) Stop() { _ = w.server.Close() }
 
-// Queries are all that were sent so far.
+// Queries returns all queries received so far.
 func (w *WorkerGroup) Queries() []Query {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -88,74 +89,75 @@
 	}
 	budget, _ := strconv.Atoi(r.Header.Get("X-Budget"))
 	q := Query{ID: r.Header.Get("X-Hop-Id"), Class: r.Header.Get("X-Sort"), ReplayKey: r.Header.Get("X-Replay-Key"),
-		Statement: string(statement), Budget: time.Duration(budget) * time.Millisecond, Came: time.Now()}
-	x := &run{over: make(chan struct{})}
+		Statement: string(statement), Budget: time.Duration(budget) * time.Millisecond, ReceivedAt: time.Now()}
+	execution := &run{done: make(chan struct{})}
 	w.mu.Lock()
 	w.queries = append(w.queries, q)
-	w.runs[q.ID] = x
+	w.runs[q.ID] = execution
 	w.mu.Unlock()
-	go w.execute(q, x)
-	w.news(rw, x)
+	go w.execute(q, execution)
+	w.writeProgress(rw, execution)
 }
 
-func (w *WorkerGroup) execute(q Query, x *run) {
-	var a Answer
+// execute runs a query for as long as the script says, or until it is deleted.
+func (w *WorkerGroup) execute(q Query, execution *run) {
+	var answer Answer
 	if w.Script != nil {
-		a = w.Script(q)
+		answer = w.Script(q)
 	}
-	until := a.Until
+	until := answer.Until
 	if until == nil {
-		timer := time.NewTimer(a.After)
+		timer := time.NewTimer(answer.RunTime)
 		defer timer.Stop()
 		select {
 		case <-timer.C:
-		case <-x.over:
+		case <-execution.done:
 		}
 	} else {
 		select {
 		case <-until:
-		case <-x.over:
+		case <-execution.done:
 		}
 	}
-	x.end(a)
+	execution.finish(answer)
 }
 
 func (w *WorkerGroup) get(rw http.ResponseWriter, r *http.Request) {
 	w.mu.Lock()
-	x := w.runs[r.PathValue("id")]
+	execution := w.runs[r.PathValue("id")]
 	w.mu.Unlock()
-	if x == nil {
+	if execution == nil {
 		rw.WriteHeader(http.StatusInternalServerError)
 		return
 	}
-	w.news(rw, x)
+	w.writeProgress(rw, execution)
 }
 
 func (w *WorkerGroup) delete(rw http.ResponseWriter, r *http.Request) {
 	w.mu.Lock()
-	x := w.runs[r.PathValue("id")]
+	execution := w.runs[r.PathValue("id")]
 	w.mu.Unlock()
-	if x != nil {
-		x.end(Answer{Status: http.StatusInternalServerError})
+	if execution != nil {
+		execution.finish(Answer{Status: http.StatusInternalServerError})
 	}
 	rw.WriteHeader(http.StatusNoContent)
 }
 
-// news answers with a query's end, or after a while that it runs.
-func (w *WorkerGroup) news(rw http.ResponseWriter, x *run) {
-	timer := time.NewTimer(holdNews)
+// writeProgress answers with the result of a query, or with status 202 if it still runs after pollTimeout.
+func (w *WorkerGroup) writeProgress(rw http.ResponseWriter, execution *run) {
+	timer := time.NewTimer(pollTimeout)
 	defer timer.Stop()
 	select {
-	case <-x.over:
+	case <-execution.done:
 	case <-timer.C:
 		rw.WriteHeader(http.StatusAccepted)
 		return
 	}
-	if x.answer.NoEffect {
+	if execution.answer.NoEffect {
 		rw.Header().Set("X-No-Effect", "1")
 	}
-	if x.answer.Status > 0 {
-		rw.WriteHeader(x.answer.Status)
+	if execution.answer.Status > 0 {
+		rw.WriteHeader(execution.answer.Status)
 		return
 	}
 	rw.Header().Set("Page-Count", "1")
--- a/internal/wallclock/shim/wallclock.c
+++ b/internal/wallclock/shim/wallclock.c
@@ -1,6 +1,6 @@
-// Steps the wall clock of one process. Loaded with LD_PRELOAD, it puts functions of its own in place of the clock
-// functions of the process's vDSO. They add to the real-time clocks what the control file holds, in nanoseconds; the
-// monotonic clocks stay as they are. Nothing outside the process is changed.
+// Shifts the wall clock of one process. Loaded with LD_PRELOAD, the library overwrites the clock functions of the
+// process's vDSO with jumps to the functions below. They add the offset in the control file, in nanoseconds, to the
+// real-time clocks; the monotonic clocks are unaffected. Nothing outside the process changes.
 #include <elf.h>
 #include <fcntl.h>
 #include <stdint.h>
@@ -17,18 +17,19 @@
 #error "the shim writes x86-64 instructions"
 #endif
 
-static volatile int64_t *shift;
+static volatile int64_t *offset_ns; // the mapped control file
 
-static long clock_call(long id, struct timespec *ts) {
+// real_clock_gettime reads a clock with the system call, which the patches below do not affect.
+static long real_clock_gettime(long id, struct timespec *ts) {
 	long result;
 	__asm__ volatile("syscall" : "=a"(result) : "0"(SYS_clock_gettime), "D"(id), "S"(ts) : "rcx", "r11", "memory");
 	return result;
 }
 
 static int shifted_clock_gettime(clockid_t id, struct timespec *ts) {
-	long result = clock_call(id, ts);
+	long result = real_clock_gettime(id, ts);
 	if (result == 0 && (id == CLOCK_REALTIME || id == CLOCK_REALTIME_COARSE)) {
-		int64_t ns = ts->tv_sec * 1000000000LL + ts->tv_nsec + *shift;
+		int64_t ns = ts->tv_sec * 1000000000LL + ts->tv_nsec + *offset_ns;
 		ts->tv_sec = ns / 1000000000LL;
 		ts->tv_nsec = ns % 1000000000LL;
 	}
@@ -57,8 +58,8 @@
 	_exit(97);
 }
 
-// jump writes "mov rax, target; jmp rax" over the beginning of a function.
-static void jump(unsigned char *at, void *target) {
+// write_jump overwrites the beginning of a function with "mov rax, target; jmp rax".
+static void write_jump(unsigned char *at, void *target) {
 	uint64_t address = (uint64_t)target;
 	at[0] = 0x48;
 	at[1] = 0xb8;
@@ -67,6 +68,7 @@
 	at[11] = 0xe0;
 }
 
+// patch redirects the vDSO function of the given name if it reads a clock.
 static void patch(unsigned char *vdso, const char *name, Elf64_Sym *symbol) {
 	static const struct { const char *name; void *target; } functions[] = {
 		{"__vdso_clock_gettime", shifted_clock_gettime},
@@ -74,7 +76,7 @@
 		{"__vdso_time", shifted_time},
 	};
 	for (size_t i = 0; i < sizeof functions / sizeof *functions; i++)
-		if (!strcmp(name, functions[i].name)) jump(vdso + symbol->st_value, functions[i].target);
+		if (!strcmp(name, functions[i].name)) write_jump(vdso + symbol->st_value, functions[i].target);
 }
 
 __attribute__((constructor)) static void start(void) {
@@ -82,9 +84,9 @@
 	if (!path) return;
 	int fd = open(path, O_RDONLY);
 	if (fd < 0) fail("wall clock shim: no control file\n");
-	shift = mmap(0, sizeof *shift, PROT_READ, MAP_SHARED, fd, 0);
+	offset_ns = mmap(0, sizeof *offset_ns, PROT_READ, MAP_SHARED, fd, 0);
 	close(fd);
-	if (shift == MAP_FAILED) fail("wall clock shim: the control file can't be mapped\n");
+	if (offset_ns == MAP_FAILED) fail("wall clock shim: the control file can't be mapped\n");
 
 	unsigned char *vdso = (unsigned char *)getauxval(AT_SYSINFO_EHDR);
 	if (!vdso) fail("wall clock shim: no vDSO\n");
@@ -104,7 +106,7 @@
 	}
 	if (!symbols || !names || !size) fail("wall clock shim: the vDSO can't be read\n");
 	if (mprotect(vdso, size, PROT_READ | PROT_WRITE | PROT_EXEC)) fail("wall clock shim: the vDSO can't be written\n");
-	// The names stand behind the symbols.
+	// The symbol table ends where the string table begins.
 	for (Elf64_Sym *s = symbols; (const char *)s < names; s++) patch(vdso, names + s->st_name, s);
 	mprotect(vdso, size, PROT_READ | PROT_EXEC);
 }
--- a/internal/wallclock/wallclock.go
+++ b/internal/wallclock/wallclock.go
@@ -1,5 +1,5 @@
-// Package wallclock steps the wall clock of single processes, for tests. The monotonic clock of such a process, and all
-// clocks of others, stay as they are. A C compiler is needed, and x86-64.
+// Package wallclock shifts the wall clock of single processes, for tests. The monotonic clock of such a process and all
+// clocks of other processes are unaffected. It requires a C compiler and x86-64.
 package wallclock
 
 import (
@@ -13,42 +13,43 @@
 )
 
 //go:embed shim/wallclock.c
-var source []byte
+var shimSource []byte
 
-// Clock is the wall clock of one process.
+// Clock controls the wall clock of processes that are started with its Environment.
 type Clock struct {
-	library string
-	control *os.File
+	libraryPath string
+	controlFile *os.File
 }
 
-// New builds the shim in a folder of the caller's own. The clock is right until Shift.
+// New builds the shim library in dir, which must last as long as the clock is used. The clock is not shifted until Shift is
+// called.
 func New(dir string) (*Clock, error) {
-	text, library := filepath.Join(dir, "wallclock.c"), filepath.Join(dir, "wallclock.so")
-	if err := os.WriteFile(text, source, 0o600); err != nil {
+	sourcePath, libraryPath := filepath.Join(dir, "wallclock.c"), filepath.Join(dir, "wallclock.so")
+	if err := os.WriteFile(sourcePath, shimSource, 0o600); err != nil {
 		return nil, err
 	}
-	compiler := exec.Command("cc", "-O1", "-shared", "-fPIC", "-o", library, text)
+	compiler := exec.Command("cc", "-O1", "-shared", "-fPIC", "-o", libraryPath, sourcePath)
 	if out, err := compiler.CombinedOutput(); err != nil {
 		return nil, fmt.Errorf("building the shim: %w: %s", err, out)
 	}
-	control, err := os.Create(filepath.Join(dir, "wallclock.shift"))
+	controlFile, err := os.Create(filepath.Join(dir, "wallclock.shift"))
 	if err != nil {
 		return nil, err
 	}
-	c := &Clock{library: library, control: control}
+	c := &Clock{libraryPath: libraryPath, controlFile: controlFile}
 	return c, c.Shift(0)
 }
 
-// Environment is what a process has to be started with.
+// Environment returns the environment variables that a process needs to use this clock.
 func (c *Clock) Environment() []string {
-	return []string{"LD_PRELOAD=" + c.library, "WALL_CLOCK_SHIFT=" + c.control.Name()}
+	return []string{"LD_PRELOAD=" + c.libraryPath, "WALL_CLOCK_SHIFT=" + c.controlFile.Name()}
 }
 
-// Shift sets by how much the wall clock is off, at once.
-func (c *Clock) Shift(by time.Duration) error {
-	_, err := c.control.WriteAt(binary.NativeEndian.AppendUint64(nil, uint64(by)), 0)
+// Shift sets the offset of the wall clock, with immediate effect. It replaces the previous offset.
+func (c *Clock) Shift(offset time.Duration) error {
+	_, err := c.controlFile.WriteAt(binary.NativeEndian.AppendUint64(nil, uint64(offset)), 0)
 	return err
 }
 
-// Close frees the control file. Processes that run keep the last shift.
-func (c *Clock) Close() error { return c.control.Close() }
+// Close closes the control file. Running processes keep the last offset.
+func (c *Clock) Close() error { return c.controlFile.Close() }
