--- a/cmd/thymeway/main.go
+++ b/cmd/thymeway/main.go
@@ -166,15 +166,15 @@
 	queue := deadline.New()
 	now := clock.New().Now
 	loop := &net.Loop{Deadlines: queue, Now: now, ConnectTimeout: c.ConnectTimeout}
-	n, err := node.New(c, loop, queue, now, loop.Ask)
+	n, err := node.New(c, loop, queue, now, loop.RequestTurn)
 	if err != nil {
 		return err
 	}
 	loop.Accept = n.Accept
 	n.Clock = clock.NewMonitor()
 	loop.Turn = n.Turn
-	loop.Exhausted = n.FreeDescriptor
-	loop.Ready = func() {
+	loop.FreeDescriptor = n.FreeDescriptor
+	loop.OnStart = func() {
 		slog.Info("ready", "name", c.Name, "listen", strings.Join(n.Listen(), ","), "classes", len(c.Scheduler.Classes),
 			"rss_kb", processMemoryKB(os.Getpid(), "VmRSS"))
 		n.Watch.Start()
--- a/internal/chengine/pool.go
+++ b/internal/chengine/pool.go
@@ -57,7 +57,7 @@
 	buf     []byte
 	seen    int // bytes of buf that were looked at for progress
 	head    *http1.Head
-	body    *http1.Body
+	body    *http1.BodyDecoder
 	got     []byte
 	holds   int // bytes of it that count for the fleet
 	interim int
@@ -264,8 +264,8 @@
 func (w *wire) take(b []byte) (*answer, error) {
 	w.buf = append(w.buf, b...)
 	for w.head == nil {
-		h, n, err := http1.ParseResponse(w.buf, http1.Limits{Bytes: headMost})
-		if errors.Is(err, http1.ErrShort) {
+		h, n, err := http1.ParseResponse(w.buf, http1.Limits{MaxBytes: headMost})
+		if errors.Is(err, http1.ErrIncomplete) {
 			w.look()
 			return nil, nil
 		}
@@ -279,12 +279,12 @@
 			}
 			continue
 		}
-		if w.body, err = h.Body(int64(w.call.most)); err != nil {
+		if w.body, err = h.NewBodyDecoder(int64(w.call.most)); err != nil {
 			return nil, err
 		}
 		w.head = h
 	}
-	got, used, err := w.body.TakeAll(w.got, w.buf)
+	got, used, err := w.body.DecodeAll(w.got, w.buf)
 	w.got = got
 	w.buf = append(w.buf[:0], w.buf[used:]...)
 	// Danger: each result is bounded, but those of all attempts together are not.
--- a/internal/chhttp/format.go
+++ b/internal/chhttp/format.go
@@ -59,8 +59,8 @@
 
 // types are the types of a result's columns.
 func types(s *result.Set) []typ {
-	all := make([]typ, len(s.Cols()))
-	for i, c := range s.Cols() {
+	all := make([]typ, len(s.ColumnsOrDefault()))
+	for i, c := range s.ColumnsOrDefault() {
 		all[i] = parseType(c.Type)
 	}
 	return all
@@ -70,7 +70,7 @@
 func tabs(head int) func([]byte, *result.Set, options) ([]byte, error) {
 	return func(dst []byte, s *result.Set, _ options) ([]byte, error) {
 		line := func(f func(result.Column) string) {
-			for i, c := range s.Cols() {
+			for i, c := range s.ColumnsOrDefault() {
 				if i > 0 {
 					dst = append(dst, '\t')
 				}
@@ -78,7 +78,7 @@
 			}
 			dst = append(dst, '\n')
 		}
-		if len(s.Cols()) == 0 {
+		if len(s.ColumnsOrDefault()) == 0 {
 			return dst, nil
 		}
 		if head > 0 {
@@ -93,7 +93,7 @@
 			}
 			return dst, nil
 		}
-		err := s.Each(func(row []result.Cell) error {
+		err := s.EachRow(func(row []result.Cell) error {
 			for i, c := range row {
 				if i > 0 {
 					dst = append(dst, '\t')
@@ -116,7 +116,7 @@
 	return func(dst []byte, s *result.Set, _ options) ([]byte, error) {
 		ts := types(s)
 		line := func(f func(result.Column) string) {
-			for i, c := range s.Cols() {
+			for i, c := range s.ColumnsOrDefault() {
 				if i > 0 {
 					dst = append(dst, ',')
 				}
@@ -133,7 +133,7 @@
 		if head > 1 {
 			line(func(c result.Column) string { return c.Type })
 		}
-		err := s.Each(func(row []result.Cell) error {
+		err := s.EachRow(func(row []result.Cell) error {
 			for i, c := range row {
 				if i > 0 {
 					dst = append(dst, ',')
@@ -237,7 +237,7 @@
 // jsonDocument writes JSON, or JSONCompact.
 func jsonDocument(compact bool) func([]byte, *result.Set, options) ([]byte, error) {
 	return func(dst []byte, s *result.Set, o options) ([]byte, error) {
-		ts, cols := types(s), s.Cols()
+		ts, cols := types(s), s.ColumnsOrDefault()
 		dst = append(dst, "{\n\t\"meta\":\n\t["...)
 		for i, c := range cols {
 			if i > 0 {
@@ -249,7 +249,7 @@
 		}
 		dst = append(dst, "\n\t],\n\n\t\"data\":\n\t["...)
 		n := 0
-		err := s.Each(func(row []result.Cell) error {
+		err := s.EachRow(func(row []result.Cell) error {
 			if n++; n > 1 {
 				dst = append(dst, ',')
 			}
@@ -286,8 +286,8 @@
 
 // jsonRows writes JSONEachRow.
 func jsonRows(dst []byte, s *result.Set, o options) ([]byte, error) {
-	ts, cols := types(s), s.Cols()
-	err := s.Each(func(row []result.Cell) error {
+	ts, cols := types(s), s.ColumnsOrDefault()
+	err := s.EachRow(func(row []result.Cell) error {
 		dst = append(dst, '{')
 		for i, c := range row {
 			if i > 0 {
@@ -322,7 +322,7 @@
 // rowBinary writes RowBinary.
 func rowBinary(head int) func([]byte, *result.Set, options) ([]byte, error) {
 	return func(dst []byte, s *result.Set, _ options) ([]byte, error) {
-		ts, cols := types(s), s.Cols()
+		ts, cols := types(s), s.ColumnsOrDefault()
 		if head > 0 && len(cols) > 0 {
 			dst = binary.AppendUvarint(dst, uint64(len(cols)))
 			for _, c := range cols {
@@ -334,7 +334,7 @@
 				dst = putString(dst, ts[i].name)
 			}
 		}
-		err := s.Each(func(row []result.Cell) (err error) {
+		err := s.EachRow(func(row []result.Cell) (err error) {
 			for i, c := range row {
 				if dst, err = ts[i].mark(dst, c); err == nil && !c.Null {
 					dst, err = ts[i].binaryValue(dst, string(c.Text))
@@ -357,12 +357,12 @@
 
 // native writes one block of columns.
 func native(dst []byte, s *result.Set, o options) ([]byte, error) {
-	ts, cols := types(s), s.Cols()
+	ts, cols := types(s), s.ColumnsOrDefault()
 	if len(cols) == 0 {
 		return dst, nil
 	}
 	data, nulls, rows := make([][]byte, len(cols)), make([][]byte, len(cols)), 0
-	err := s.Each(func(row []result.Cell) (err error) {
+	err := s.EachRow(func(row []result.Cell) (err error) {
 		rows++
 		for i, c := range row {
 			t := &ts[i]
--- a/internal/chhttp/front.go
+++ b/internal/chhttp/front.go
@@ -91,7 +91,7 @@
 	faults  int // in a row
 	buf     []byte
 	head    *http1.Head // of the request whose body is coming
-	body    *http1.Body
+	body    *http1.BodyDecoder
 	got     []byte
 	holds   int     // bytes that count for it
 	q       *query  // the open one
@@ -195,12 +195,12 @@
 func (s *Session) next() bool {
 	f := s.f
 	if s.head == nil {
-		h, n, err := http1.ParseRequest(s.buf, http1.Limits{Bytes: mostHead, Fields: mostFields})
-		if errors.Is(err, http1.ErrShort) {
+		h, n, err := http1.ParseRequest(s.buf, http1.Limits{MaxBytes: mostHead, MaxFields: mostFields})
+		if errors.Is(err, http1.ErrIncomplete) {
 			return false
 		}
 		if err == nil {
-			s.body, err = h.Body(int64(f.Config.Local.ClickHouse.MaxBodyBytes))
+			s.body, err = h.NewBodyDecoder(int64(f.Config.Local.ClickHouse.MaxBodyBytes))
 		}
 		if err != nil {
 			s.garbled(err)
@@ -218,7 +218,7 @@
 			}
 		}
 		if !s.body.Done() {
-			within := bodyWithin * (1 + float64(max(h.Length, 0))/bodyPace)
+			within := bodyWithin * (1 + float64(max(h.ContentLength, 0))/bodyPace)
 			f.Deadlines.Set(&s.late, f.Now()+within)
 		}
 	}
@@ -226,7 +226,7 @@
 		s.noRoom()
 		return false
 	}
-	got, used, err := s.body.TakeAll(s.got, s.buf)
+	got, used, err := s.body.DecodeAll(s.got, s.buf)
 	s.got, s.buf = got, s.buf[used:]
 	if err != nil {
 		s.garbled(err)
@@ -254,7 +254,7 @@
 func (s *Session) weight() int {
 	n := len(s.buf)
 	if s.head != nil {
-		n += max(int(s.head.Length)-len(s.buf), len(s.got))
+		n += max(int(s.head.ContentLength)-len(s.buf), len(s.got))
 	}
 	if s.q != nil {
 		n += len(s.q.Statement)
@@ -287,7 +287,7 @@
 // garbled ends a connection whose bytes can't be read.
 func (s *Session) garbled(err error) {
 	status := 400
-	var f *http1.Fault
+	var f *http1.ProtocolError
 	if errors.As(err, &f) {
 		status = f.Status
 	}
@@ -530,7 +530,7 @@
 	s.release()
 	fields := [][2]string{{"X-ClickHouse-Format", q.format}, {"X-ClickHouse-Summary",
 		fmt.Sprintf(`{"read_rows":"%d","read_bytes":"%d","written_rows":"0","written_bytes":"0","total_rows_to_read":"0","result_rows":"%d","result_bytes":"%d","elapsed_ns":"%.0f"}`,
-			r.Rows(), r.Size(), r.Rows(), r.Size(), q.options.elapsed*1e9)}}
+			r.RowCount(), r.Size(), r.RowCount(), r.Size(), q.options.elapsed*1e9)}}
 	if q.id != "" {
 		fields = append(fields, [2]string{"X-ClickHouse-Query-Id", q.id})
 	}
--- a/internal/chhttp/request.go
+++ b/internal/chhttp/request.go
@@ -246,8 +246,8 @@
 		return except(codeSyntax, "Syntax error: Empty query")
 	}
 	r, limit, err := &coordinator.Request{}, 0.0, error(nil)
-	if fields.There(text) {
-		if r, limit, err = fields.Read(text); err != nil {
+	if fields.HasFields(text) {
+		if r, limit, err = fields.Parse(text); err != nil {
 			return except(codeSyntax, "%v", err)
 		}
 		text = r.Statement
@@ -308,12 +308,12 @@
 		return err
 	}
 	if t := v["insert_deduplication_token"]; t != "" {
-		if r.IdempotencyKey, err = fields.Word(t); err != nil {
+		if r.IdempotencyKey, err = fields.ParseWord(t); err != nil {
 			return except(codeBadArguments, "insert_deduplication_token: %v", err)
 		}
 	}
 	if k := first(h.Get(f.Config.Local.ClickHouse.KeyHeader), v[f.Config.Local.ClickHouse.KeySetting]); k != "" {
-		if r.OrderKey, err = fields.Word(k); err != nil {
+		if r.OrderKey, err = fields.ParseWord(k); err != nil {
 			return except(codeBadArguments, "%s: %v", f.Config.Local.ClickHouse.KeySetting, err)
 		}
 	}
--- a/internal/fields/fields.go
+++ b/internal/fields/fields.go
@@ -1,4 +1,5 @@
-// Package fields reads the comment ahead of a statement that carries what a request is: its class, id, deadline, member.
+// Package fields parses the comment before a statement that describes the request: its class, id, time limit, tenant, and
+// optional further fields.
 package fields
 
 import (
@@ -10,16 +11,16 @@
 )
 
 const (
-	mostName  = 128     // bytes of a name, an id or a key
-	mostLimit = 3600000 // ms that a client may wait
-	mostWork  = 1e9     // ms of an estimate
-	mostMem   = 1e8     // MB of an estimate
+	maxWordBytes = 128     // of a name or a key
+	maxTimeLimit = 3600000 // ms; largest time limit of a request
+	maxWork      = 1e9     // CPU ms; largest estimate
+	maxMem       = 1e8     // MB; largest estimate
 )
 
-// Read makes a request of a query's text, up to its deadline, of which it tells the limit in ms. Each fault names
-// the field.
-func Read(text string) (r *coordinator.Request, limit float64, err error) {
-	fields, statement, ok := split(text)
+// Parse converts a query's text to a request. It does not set the deadline, but returns the client's time limit in ms. Errors
+// name the invalid field.
+func Parse(text string) (r *coordinator.Request, timeLimit float64, err error) {
+	content, statement, ok := splitComment(text)
 	if !ok {
 		return nil, 0, fmt.Errorf("no comment with the fields ahead of the statement")
 	}
@@ -28,96 +29,98 @@
 	}
 	r = &coordinator.Request{Statement: statement}
 	seen := map[string]bool{}
-	for _, pair := range strings.Split(fields, ",") {
-		k, v, ok := strings.Cut(strings.TrimSpace(pair), "=")
+	for _, pair := range strings.Split(content, ",") {
+		name, value, ok := strings.Cut(strings.TrimSpace(pair), "=")
 		if !ok {
 			return nil, 0, fmt.Errorf("field %.40q: not name=value", pair)
 		}
-		if seen[k] {
-			return nil, 0, fmt.Errorf("field %s: given twice", k)
+		if seen[name] {
+			return nil, 0, fmt.Errorf("field %s: given twice", name)
 		}
-		seen[k] = true
-		switch k {
+		seen[name] = true
+		switch name {
 		case "verb":
-			r.Class, err = Word(v)
+			r.Class, err = ParseWord(value)
 		case "txn":
-			r.ID, err = hex(v, 16)
+			r.ID, err = parseHex(value, 16)
 		case "limit":
-			if limit, err = amount(v, mostLimit); err == nil && limit == 0 {
-				err = fmt.Errorf("%.40q is not above 0", v)
+			if timeLimit, err = parseNumber(value, maxTimeLimit); err == nil && timeLimit == 0 {
+				err = fmt.Errorf("%.40q is not above 0", value)
 			}
 		case "team":
-			r.Tenant, err = Word(v)
+			r.Tenant, err = ParseWord(value)
 		case "second":
-			if r.Repeat = v == "1"; !r.Repeat {
-				err = fmt.Errorf("%.40q is not 1", v)
+			if r.Repeat = value == "1"; !r.Repeat {
+				err = fmt.Errorf("%.40q is not 1", value)
 			}
 		case "unique":
-			r.IdempotencyKey, err = Word(v)
+			r.IdempotencyKey, err = ParseWord(value)
 		case "cpu":
-			r.Work, err = amount(v, mostWork)
+			r.Work, err = parseNumber(value, maxWork)
 		case "heap_mb":
-			r.Mem, err = amount(v, mostMem)
+			r.Mem, err = parseNumber(value, maxMem)
 		case "item":
-			r.OrderKey, err = Word(v)
+			r.OrderKey, err = ParseWord(value)
 		default:
 			err = fmt.Errorf("unknown")
 		}
 		if err != nil {
-			return nil, 0, fmt.Errorf("field %.40q: %v", k, err)
+			return nil, 0, fmt.Errorf("field %.40q: %v", name, err)
 		}
 	}
-	for _, k := range []string{"verb", "txn", "limit"} {
-		if !seen[k] {
-			return nil, 0, fmt.Errorf("field %s: missing", k)
+	for _, name := range []string{"verb", "txn", "limit"} {
+		if !seen[name] {
+			return nil, 0, fmt.Errorf("field %s: missing", name)
 		}
 	}
-	return r, limit, nil
+	return r, timeLimit, nil
 }
 
-// There tells whether a text starts with such a comment, and not with one of another kind.
-func There(text string) bool {
-	f, _, ok := split(text)
-	return ok && strings.HasPrefix(f, "verb=")
+// HasFields reports whether a text starts with a comment of fields: one that begins with the field verb.
+func HasFields(text string) bool {
+	content, _, ok := splitComment(text)
+	return ok && strings.HasPrefix(content, "verb=")
 }
 
-// split cuts a text into that of the comment ahead of the statement and the statement behind it.
-func split(text string) (fields, statement string, ok bool) {
+// splitComment splits a text into the content of its leading comment and the statement behind it.
+func splitComment(text string) (content, statement string, ok bool) {
 	text = strings.TrimLeft(text, " \t\r\n")
 	if !strings.HasPrefix(text, "/*") {
 		return "", text, false
 	}
-	i := strings.Index(text, "*/")
-	if i < 2 {
+	end := strings.Index(text, "*/")
+	if end < 2 {
 		return "", "", false
 	}
-	return strings.TrimSpace(text[2:i]), strings.TrimLeft(text[i+2:], " \t\r\n"), true
+	return strings.TrimSpace(text[2:end]), strings.TrimLeft(text[end+2:], " \t\r\n"), true
 }
 
-// Word checks a text that has to stand in a header as it is: 1 to 128 signs, no space.
-func Word(v string) (string, error) {
-	if v == "" || len(v) > mostName {
-		return "", fmt.Errorf("%d bytes, 1 to %d may be", len(v), mostName)
+// ParseWord checks that a word can be sent unchanged in a header: 1 to 128 printable ASCII characters without spaces.
+func ParseWord(word string) (string, error) {
+	if word == "" || len(word) > maxWordBytes {
+		return "", fmt.Errorf("%d bytes, 1 to %d may be", len(word), maxWordBytes)
 	}
-	for i := 0; i < len(v); i++ {
-		if v[i] <= ' ' || v[i] >= 0x7f {
-			return "", fmt.Errorf("%q can't stand there", v[i])
+	for i := 0; i < len(word); i++ {
+		if word[i] <= ' ' || word[i] >= 0x7f {
+			return "", fmt.Errorf("%q can't stand there", word[i])
 		}
 	}
-	return v, nil
+	return word, nil
 }
 
-func hex(v string, digits int) (string, error) {
-	if len(v) != digits || strings.Trim(v, "0123456789abcdefABCDEF") != "" {
-		return "", fmt.Errorf("%.40q is not %d hex digits", v, digits)
+// parseHex checks that a text has the given number of hexadecimal digits.
+func parseHex(text string, digits int) (string, error) {
+	if len(text) != digits || strings.Trim(text, "0123456789abcdefABCDEF") != "" {
+		return "", fmt.Errorf("%.40q is not %d hex digits", text, digits)
 	}
-	return v, nil
+	return text, nil
 }
 
-func amount(v string, most float64) (float64, error) {
-	f, err := strconv.ParseFloat(v, 64)
-	if err != nil || !(f >= 0 && f <= most) { // false for what is no number
-		return 0, fmt.Errorf("%.40q is not a number from 0 to %.0f", v, most)
+// parseNumber parses a number from 0 to maxValue.
+func parseNumber(text string, maxValue float64) (float64, error) {
+	value, err := strconv.ParseFloat(text, 64)
+	if err != nil || !(value >= 0 && value <= maxValue) { // the condition is false for NaN
+		return 0, fmt.Errorf("%.40q is not a number from 0 to %.0f", text, maxValue)
 	}
-	return f, nil
+	return value, nil
 }
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -1,5 +1,5 @@
-// Package http1 reads HTTP/1.1 messages (RFC 9112) as their bytes come: heads of requests and answers, and bodies with
-// a length or in chunks. It makes no copy of a body and holds none: its user does, and bounds it.
+// Package http1 parses HTTP/1.1 messages (RFC 9112) incrementally: heads of requests and responses, and bodies with a length
+// or in chunked encoding. It does not buffer bodies: the caller does, and limits their size.
 package http1
 
 import (
@@ -10,42 +10,43 @@
 	"strings"
 )
 
-// ErrShort says that more bytes are needed.
-var ErrShort = errors.New("more bytes are needed")
+// ErrIncomplete is returned when more bytes are needed.
+var ErrIncomplete = errors.New("incomplete message")
 
-// A Fault is a message that can't be read, and the status that tells its sender so.
-type Fault struct {
-	Status int
-	Text   string
+// ProtocolError describes an invalid message. Status is the HTTP status to answer its sender with.
+type ProtocolError struct {
+	Status  int
+	Message string
 }
 
-func (f *Fault) Error() string { return f.Text }
+func (e *ProtocolError) Error() string { return e.Message }
 
-func fault(status int, format string, args ...any) error {
-	return &Fault{status, fmt.Sprintf(format, args...)}
+// protocolErrorf returns a ProtocolError with a formatted message.
+func protocolErrorf(status int, format string, args ...any) error {
+	return &ProtocolError{status, fmt.Sprintf(format, args...)}
 }
 
-// Field is a line of a head. Names are in small letters.
+// Field is a header field. Its name is in lower case.
 type Field struct{ Name, Value string }
 
-// Head is the head of a request or of an answer.
+// Head is the head of a request or a response.
 type Head struct {
 	Method, Target string // of a request
-	Status         int    // of an answer
-	Minor          int    // of the version, 1.0 or 1.1
+	Status         int    // of a response
+	MinorVersion   int    // of the version: 0 for HTTP/1.0, 1 for HTTP/1.1
 	Fields         []Field
-	Length         int64 // -1: none is given
+	ContentLength  int64 // -1: not given
 	Chunked        bool
-	Close          bool // the connection ends with this message
+	Close          bool // the connection is closed after this message
 }
 
-// Get is the value of the first field of a name, given in small letters.
+// Get returns the value of the first field with the name, which must be in lower case, or "" if there is none.
 func (h *Head) Get(name string) string {
 	v, _ := h.Find(name)
 	return v
 }
 
-// Find is the value of the first field of a name, and whether there is one.
+// Find returns the value of the first field with the name, which must be in lower case, and whether there is one.
 func (h *Head) Find(name string) (string, bool) {
 	for _, f := range h.Fields {
 		if f.Name == name {
@@ -55,331 +56,338 @@
 	return "", false
 }
 
-// Limits of a head. A zero means no limit.
+// Limits are the limits of a head. Zero means no limit.
 type Limits struct {
-	Bytes  int
-	Fields int
+	MaxBytes  int
+	MaxFields int
 }
 
-// token tells whether a text may name a field or a method.
-func token(s string) bool {
+// isToken reports whether s is a valid field name or method.
+func isToken(s string) bool {
 	for i := 0; i < len(s); i++ {
 		c := s[i]
-		if !(c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || strings.IndexByte("!#$%&'*+-.^_`|~", c) >= 0) {
+		if !(c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' ||
+			strings.IndexByte("!#$%&'*+-.^_`|~", c) >= 0) {
 			return false
 		}
 	}
 	return s != ""
 }
 
-// usual are names as most write them, so that no copy in small letters is made of each.
-var usual = map[string]string{}
+// lowerCaseNames maps field names in their usual spelling to lower case, to avoid an allocation for each.
+var lowerCaseNames = map[string]string{}
 
 func init() {
-	for _, n := range []string{"Host", "Content-Length", "Content-Type", "Connection", "Transfer-Encoding", "User-Agent", "Accept-Encoding",
-		"Accept", "Authorization", "Expect", "Page-Count", "Page-No", "X-Report", "X-Tell", "Figure", "Work-Ms", "Peak-Mb", "X-No-Effect",
-		"X-ClickHouse-Summary", "X-ClickHouse-Progress", "X-ClickHouse-Format", "X-ClickHouse-Query-Id", "X-ClickHouse-User", "X-ClickHouse-Key"} {
-		usual[n] = strings.ToLower(n)
+	for _, n := range []string{"Host", "Content-Length", "Content-Type", "Connection", "Transfer-Encoding", "User-Agent",
+		"Accept-Encoding", "Accept", "Authorization", "Expect", "Page-Count", "Page-No", "X-Report", "X-Tell", "Figure",
+		"Work-Ms", "Peak-Mb", "X-No-Effect", "X-ClickHouse-Summary", "X-ClickHouse-Progress", "X-ClickHouse-Format",
+		"X-ClickHouse-Query-Id", "X-ClickHouse-User", "X-ClickHouse-Key"} {
+		lowerCaseNames[n] = strings.ToLower(n)
 	}
 }
 
-func small(name string) string {
-	if n, ok := usual[name]; ok {
+// lowerCase returns a field name in lower case.
+func lowerCase(name string) string {
+	if n, ok := lowerCaseNames[name]; ok {
 		return n
 	}
 	return strings.ToLower(name)
 }
 
-// split finds the end of a head and cuts it into its lines. Danger: what one reader takes for the end of a line and
-// another does not lets a message be smuggled in another, so only CR LF ends one.
-func split(b []byte, l Limits) (lines []string, n int, err error) {
+// splitHead splits a head into its lines and returns its length. Danger: if two parsers disagree about where a line ends, a
+// request can be smuggled inside another one. So only CR LF ends a line.
+func splitHead(b []byte, l Limits) (lines []string, n int, err error) {
 	end := bytes.Index(b, []byte("\r\n\r\n"))
 	if end < 0 {
-		if l.Bytes > 0 && len(b) > l.Bytes {
-			return nil, 0, fault(431, "head over %d bytes", l.Bytes)
+		if l.MaxBytes > 0 && len(b) > l.MaxBytes {
+			return nil, 0, protocolErrorf(431, "head over %d bytes", l.MaxBytes)
 		}
-		return nil, 0, ErrShort
+		return nil, 0, ErrIncomplete
 	}
-	if l.Bytes > 0 && end > l.Bytes {
-		return nil, 0, fault(431, "head over %d bytes", l.Bytes)
+	if l.MaxBytes > 0 && end > l.MaxBytes {
+		return nil, 0, protocolErrorf(431, "head over %d bytes", l.MaxBytes)
 	}
 	lines = strings.Split(string(b[:end]), "\r\n")
-	if l.Fields > 0 && len(lines)-1 > l.Fields {
-		return nil, 0, fault(431, "over %d header fields", l.Fields)
+	if l.MaxFields > 0 && len(lines)-1 > l.MaxFields {
+		return nil, 0, protocolErrorf(431, "over %d header fields", l.MaxFields)
 	}
 	return lines, end + 4, nil
 }
 
-// ParseRequest reads the head of a request from the start of b and tells its length. It takes nothing that two readers
-// could read in two ways.
+// ParseRequest parses the head of a request at the start of b and returns its length. It rejects everything that another
+// parser could interpret differently.
 func ParseRequest(b []byte, l Limits) (*Head, int, error) {
-	// Danger: a sender of bare line feeds, or of nothing like HTTP, would be waited for to the end of its time.
+	// Danger: without this check, input with bare line feeds, or in another protocol, would look incomplete, and the connection
+	// would stay open until the timeout.
 	if i := bytes.IndexByte(b, '\n'); i == 0 || i > 0 && b[i-1] != '\r' {
-		return nil, 0, fault(400, "a line that does not end with CR LF")
+		return nil, 0, protocolErrorf(400, "a line that does not end with CR LF")
 	} else if i < 0 && len(b) > 0 && (b[0] < 'A' || b[0] > 'Z') {
-		return nil, 0, fault(400, "no request line")
+		return nil, 0, protocolErrorf(400, "no request line")
 	}
-	lines, n, err := split(b, l)
+	lines, n, err := splitHead(b, l)
 	if err != nil {
 		return nil, 0, err
 	}
-	part := strings.Split(lines[0], " ")
-	if len(part) != 3 || !token(part[0]) || part[1] == "" {
-		return nil, 0, fault(400, "request line %.60q", lines[0])
+	parts := strings.Split(lines[0], " ")
+	if len(parts) != 3 || !isToken(parts[0]) || parts[1] == "" {
+		return nil, 0, protocolErrorf(400, "request line %.60q", lines[0])
 	}
-	h := &Head{Method: part[0], Target: part[1], Length: -1, Fields: make([]Field, 0, len(lines)-1)}
-	switch part[2] {
+	h := &Head{Method: parts[0], Target: parts[1], ContentLength: -1, Fields: make([]Field, 0, len(lines)-1)}
+	switch parts[2] {
 	case "HTTP/1.1":
-		h.Minor = 1
+		h.MinorVersion = 1
 	case "HTTP/1.0":
 		h.Close = true
 	default:
-		return nil, 0, fault(505, "version %.20q", part[2])
+		return nil, 0, protocolErrorf(505, "version %.20q", parts[2])
 	}
 	for i := 0; i < len(h.Target); i++ {
 		if c := h.Target[i]; c <= ' ' || c >= 0x7f {
-			return nil, 0, fault(400, "byte %q in the target", c)
+			return nil, 0, protocolErrorf(400, "byte %q in the target", c)
 		}
 	}
 	hosts := 0
 	for _, line := range lines[1:] {
 		name, value, ok := strings.Cut(line, ":")
-		if !ok || !token(name) { // also a folded line, and white space ahead of the colon
-			return nil, 0, fault(400, "header line %.60q", line)
+		if !ok || !isToken(name) { // also rejects a folded line, and white space before the colon
+			return nil, 0, protocolErrorf(400, "header line %.60q", line)
 		}
 		value = strings.Trim(value, " \t")
 		for i := 0; i < len(value); i++ {
 			if c := value[i]; c < ' ' && c != '\t' || c == 0x7f {
-				return nil, 0, fault(400, "byte %q in header %.40s", c, name)
+				return nil, 0, protocolErrorf(400, "byte %q in header %.40s", c, name)
 			}
 		}
-		name = small(name)
+		name = lowerCase(name)
 		switch name {
 		case "host":
 			hosts++
 		case "content-length":
-			if h.Length >= 0 {
-				return nil, 0, fault(400, "two lengths")
+			if h.ContentLength >= 0 {
+				return nil, 0, protocolErrorf(400, "two lengths")
 			}
-			if h.Length, err = length(value); err != nil {
+			if h.ContentLength, err = parseLength(value); err != nil {
 				return nil, 0, err
 			}
 		case "transfer-encoding":
-			if h.Chunked || h.Minor == 0 {
-				return nil, 0, fault(400, "transfer encoding out of place")
+			if h.Chunked || h.MinorVersion == 0 {
+				return nil, 0, protocolErrorf(400, "transfer encoding out of place")
 			}
 			if !strings.EqualFold(value, "chunked") {
-				return nil, 0, fault(501, "transfer encoding %.40q", value)
+				return nil, 0, protocolErrorf(501, "transfer encoding %.40q", value)
 			}
 			h.Chunked = true
 		case "connection":
-			h.connection(value)
+			h.parseConnection(value)
 		}
 		h.Fields = append(h.Fields, Field{name, value})
 	}
 	switch {
-	case h.Chunked && h.Length >= 0:
-		return nil, 0, fault(400, "a length and chunks")
-	case hosts > 1 || hosts == 0 && h.Minor == 1:
-		return nil, 0, fault(400, "%d host fields", hosts)
+	case h.Chunked && h.ContentLength >= 0:
+		return nil, 0, protocolErrorf(400, "a length and chunks")
+	case hosts > 1 || hosts == 0 && h.MinorVersion == 1:
+		return nil, 0, protocolErrorf(400, "%d host fields", hosts)
 	}
 	return h, n, nil
 }
 
-func (h *Head) connection(value string) {
-	for _, v := range strings.Split(value, ",") {
-		switch strings.ToLower(strings.TrimSpace(v)) {
+// parseConnection applies a Connection header.
+func (h *Head) parseConnection(value string) {
+	for _, option := range strings.Split(value, ",") {
+		switch strings.ToLower(strings.TrimSpace(option)) {
 		case "close":
 			h.Close = true
 		case "keep-alive":
-			h.Close = h.Close && h.Minor == 1
+			h.Close = h.Close && h.MinorVersion == 1
 		}
 	}
 }
 
-func length(s string) (int64, error) {
+// parseLength parses the value of a Content-Length header, which must consist of digits only.
+func parseLength(s string) (int64, error) {
 	for i := 0; i < len(s); i++ {
 		if s[i] < '0' || s[i] > '9' {
-			return 0, fault(400, "length %.40q", s)
+			return 0, protocolErrorf(400, "length %.40q", s)
 		}
 	}
 	v, err := strconv.ParseInt(s, 10, 64)
 	if err != nil {
-		return 0, fault(400, "length %.40q", s)
+		return 0, protocolErrorf(400, "length %.40q", s)
 	}
 	return v, nil
 }
 
-// ParseResponse reads the head of an answer from the start of b and tells its length. It is as strict about lengths as
-// ParseRequest, and lenient about the rest.
+// ParseResponse parses the head of a response at the start of b and returns its length. Like ParseRequest, it requires an
+// unambiguous body length, but it accepts repeated equal Content-Length headers. It is lenient about the rest.
 func ParseResponse(b []byte, l Limits) (*Head, int, error) {
-	lines, n, err := split(b, l)
+	lines, n, err := splitHead(b, l)
 	if err != nil {
 		return nil, 0, err
 	}
-	h := &Head{Length: -1, Fields: make([]Field, 0, len(lines)-1)}
+	h := &Head{ContentLength: -1, Fields: make([]Field, 0, len(lines)-1)}
 	version, rest, _ := strings.Cut(lines[0], " ")
 	code, _, _ := strings.Cut(rest, " ")
-	if h.Status, err = strconv.Atoi(code); err != nil || h.Status < 100 || h.Status > 599 || version != "HTTP/1.1" && version != "HTTP/1.0" {
-		return nil, 0, fault(502, "status line %.60q", lines[0])
+	if h.Status, err = strconv.Atoi(code); err != nil || h.Status < 100 || h.Status > 599 ||
+		version != "HTTP/1.1" && version != "HTTP/1.0" {
+		return nil, 0, protocolErrorf(502, "invalid status line %.60q", lines[0])
 	}
 	if version == "HTTP/1.1" {
-		h.Minor = 1
+		h.MinorVersion = 1
 	}
-	h.Close = h.Minor == 0
+	h.Close = h.MinorVersion == 0
 	for _, line := range lines[1:] {
 		name, value, ok := strings.Cut(line, ":")
 		if !ok || name == "" || name[0] == ' ' || name[0] == '\t' {
-			return nil, 0, fault(502, "header line %.60q", line)
+			return nil, 0, protocolErrorf(502, "invalid header line %.60q", line)
 		}
-		name, value = small(name), strings.TrimSpace(value)
+		name, value = lowerCase(name), strings.TrimSpace(value)
 		switch name {
 		case "content-length":
-			v, err := length(value)
+			v, err := parseLength(value)
 			if err != nil {
 				return nil, 0, err
 			}
-			if h.Length >= 0 && h.Length != v {
-				return nil, 0, fault(502, "lengths %d and %d", h.Length, v)
+			if h.ContentLength >= 0 && h.ContentLength != v {
+				return nil, 0, protocolErrorf(502, "conflicting content lengths %d and %d", h.ContentLength, v)
 			}
-			h.Length = v
+			h.ContentLength = v
 		case "transfer-encoding":
 			if !strings.EqualFold(value, "chunked") {
-				return nil, 0, fault(502, "transfer encoding %.40q", value)
+				return nil, 0, protocolErrorf(502, "unsupported transfer encoding %.40q", value)
 			}
 			h.Chunked = true
 		case "connection":
-			h.connection(value)
+			h.parseConnection(value)
 		}
 		h.Fields = append(h.Fields, Field{name, value})
 	}
 	switch {
-	case h.Bodiless():
-		h.Length, h.Chunked = 0, false
-	case h.Chunked && h.Length >= 0:
-		return nil, 0, fault(502, "an answer with two lengths")
-	case !h.Chunked && h.Length < 0:
-		return nil, 0, fault(502, "an answer without a length")
+	case h.NoBody():
+		h.ContentLength, h.Chunked = 0, false
+	case h.Chunked && h.ContentLength >= 0:
+		return nil, 0, protocolErrorf(502, "response with both a content length and chunked encoding")
+	case !h.Chunked && h.ContentLength < 0:
+		return nil, 0, protocolErrorf(502, "response with neither a content length nor chunked encoding")
 	}
 	return h, n, nil
 }
 
-// Bodiless tells whether an answer has no body by its status.
-func (h *Head) Bodiless() bool { return h.Status == 204 || h.Status == 304 || h.Status/100 == 1 }
+// NoBody reports whether a response with this status never has a body.
+func (h *Head) NoBody() bool { return h.Status == 204 || h.Status == 304 || h.Status/100 == 1 }
 
-// Limits of what goes with chunks, in bytes.
+// Limits of a chunked body's framing.
 const (
-	mostChunkLine = 64 // of a chunk's size and extension
-	mostTrailer   = 4096
+	maxChunkLineBytes = 64 // of the line with a chunk's size and extensions
+	maxTrailerBytes   = 4096
 )
 
-// Body takes a body apart as it comes.
-type Body struct {
-	most    int64 // bytes of it
-	left    int64 // of the present chunk, or of a body with a length
-	got     int64
-	chunked bool
-	state   uint8
-	trailer int
+// BodyDecoder decodes a body as its bytes arrive.
+type BodyDecoder struct {
+	maxBytes     int64 // of the body's data
+	remaining    int64 // bytes of the current chunk, or of a body with a length
+	received     int64 // bytes of the body's data
+	chunked      bool
+	state        uint8
+	trailerBytes int // decoded so far
 }
 
-// States of a Body.
+// States of a BodyDecoder.
 const (
-	inData = iota
-	atSize
-	atEnd     // of a chunk, ahead of its CR LF
-	atTrailer // behind the last chunk
-	done
+	stateData = iota
+	stateChunkSize
+	stateChunkEnd // before the CR LF behind a chunk
+	stateTrailer  // behind the last chunk, of size 0
+	stateDone
 )
 
-// Body starts the body of a message, of which at most so many bytes are taken. A body that will be too long is told by
-// its head.
-func (h *Head) Body(most int64) (*Body, error) {
-	b := &Body{most: most, left: h.Length, chunked: h.Chunked}
+// NewBodyDecoder returns a decoder for the body of the message, which may have at most maxBytes. It returns an error if the head
+// already shows that the body is longer.
+func (h *Head) NewBodyDecoder(maxBytes int64) (*BodyDecoder, error) {
+	b := &BodyDecoder{maxBytes: maxBytes, remaining: h.ContentLength, chunked: h.Chunked}
 	switch {
 	case h.Chunked:
-		b.state = atSize
-	case h.Length > most:
-		return nil, fault(413, "a body of %d bytes, %d may be", h.Length, most)
-	case h.Length <= 0:
-		b.state = done
+		b.state = stateChunkSize
+	case h.ContentLength > maxBytes:
+		return nil, protocolErrorf(413, "a body of %d bytes, %d may be", h.ContentLength, maxBytes)
+	case h.ContentLength <= 0:
+		b.state = stateDone
 	}
 	return b, nil
 }
 
-// Done tells whether the body has come whole.
-func (b *Body) Done() bool { return b.state == done }
+// Done reports whether the body is complete.
+func (b *BodyDecoder) Done() bool { return b.state == stateDone }
 
-// Take reads from p: data is a part of the body, valid as p is, and used how many bytes of p are done with. With used 0
-// and no error more bytes are needed.
-func (b *Body) Take(p []byte) (data []byte, used int, err error) {
+// Decode decodes a part of p. It returns the bytes of the body, as a part of p, and how many bytes of p it consumed. If it
+// consumes none and returns no error, more bytes are needed.
+func (b *BodyDecoder) Decode(p []byte) (data []byte, used int, err error) {
 	switch b.state {
-	case inData:
-		n := int(min(b.left, int64(len(p))))
-		b.left -= int64(n)
-		if b.got += int64(n); b.left == 0 {
-			if b.state = done; b.chunked {
-				b.state = atEnd
+	case stateData:
+		n := int(min(b.remaining, int64(len(p))))
+		b.remaining -= int64(n)
+		if b.received += int64(n); b.remaining == 0 {
+			if b.state = stateDone; b.chunked {
+				b.state = stateChunkEnd
 			}
 		}
 		return p[:n], n, nil
-	case atSize:
+	case stateChunkSize:
 		i := bytes.IndexByte(p, '\n')
-		if i < 0 && len(p) > mostChunkLine || i > mostChunkLine {
-			return nil, 0, fault(400, "chunk line over %d bytes", mostChunkLine)
+		if i < 0 && len(p) > maxChunkLineBytes || i > maxChunkLineBytes {
+			return nil, 0, protocolErrorf(400, "chunk line over %d bytes", maxChunkLineBytes)
 		}
 		if i < 0 {
 			return nil, 0, nil
 		}
 		if i == 0 || p[i-1] != '\r' {
-			return nil, 0, fault(400, "a chunk line that does not end with CR LF")
+			return nil, 0, protocolErrorf(400, "a chunk line that does not end with CR LF")
 		}
 		text, _, _ := strings.Cut(string(p[:i-1]), ";")
 		text = strings.TrimRight(text, " \t")
-		size, e := strconv.ParseUint(text, 16, 62)
-		if e != nil || text[0] == '+' || strings.IndexByte(text, '_') >= 0 {
-			return nil, 0, fault(400, "chunk size %.40q", text)
+		size, parseErr := strconv.ParseUint(text, 16, 62)
+		if parseErr != nil || text[0] == '+' || strings.IndexByte(text, '_') >= 0 {
+			return nil, 0, protocolErrorf(400, "chunk size %.40q", text)
 		}
-		if b.got+int64(size) > b.most {
-			return nil, 0, fault(413, "a body over %d bytes", b.most)
+		if b.received+int64(size) > b.maxBytes {
+			return nil, 0, protocolErrorf(413, "a body over %d bytes", b.maxBytes)
 		}
-		b.left, b.state = int64(size), inData
+		b.remaining, b.state = int64(size), stateData
 		if size == 0 {
-			b.state = atTrailer
+			b.state = stateTrailer
 		}
 		return nil, i + 1, nil
-	case atEnd:
+	case stateChunkEnd:
 		if len(p) < 2 {
 			return nil, 0, nil
 		}
 		if p[0] != '\r' || p[1] != '\n' {
-			return nil, 0, fault(400, "chunk without its end")
+			return nil, 0, protocolErrorf(400, "chunk without its end")
 		}
-		b.state = atSize
+		b.state = stateChunkSize
 		return nil, 2, nil
-	case atTrailer: // what it holds is of no use here
+	case stateTrailer: // trailer fields are ignored
 		i := bytes.IndexByte(p, '\n')
-		if i < 0 && b.trailer+len(p) > mostTrailer || b.trailer+i > mostTrailer {
-			return nil, 0, fault(431, "trailer over %d bytes", mostTrailer)
+		if i < 0 && b.trailerBytes+len(p) > maxTrailerBytes || b.trailerBytes+i > maxTrailerBytes {
+			return nil, 0, protocolErrorf(431, "trailer over %d bytes", maxTrailerBytes)
 		}
 		if i < 0 {
 			return nil, 0, nil
 		}
 		if i == 0 || p[i-1] != '\r' {
-			return nil, 0, fault(400, "a trailer that does not end with CR LF")
+			return nil, 0, protocolErrorf(400, "a trailer that does not end with CR LF")
 		}
-		if b.trailer += i + 1; i == 1 {
-			b.state = done
+		if b.trailerBytes += i + 1; i == 1 {
+			b.state = stateDone
 		}
 		return nil, i + 1, nil
 	}
 	return nil, 0, nil
 }
 
-// TakeAll reads as much from p as it can, adding the body's bytes to dst, and tells how many bytes of p are done with.
-func (b *Body) TakeAll(dst, p []byte) (all []byte, used int, err error) {
+// DecodeAll decodes as much of p as it can. It appends the bytes of the body to dst and returns how many bytes of p it consumed.
+func (b *BodyDecoder) DecodeAll(dst, p []byte) (all []byte, used int, err error) {
 	for !b.Done() {
-		data, n, err := b.Take(p[used:])
+		data, n, err := b.Decode(p[used:])
 		if err != nil || n == 0 {
 			return dst, used, err
 		}
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -8,32 +8,33 @@
 	"testing"
 )
 
-var limits = Limits{Bytes: 4096, Fields: 20}
+var limits = Limits{MaxBytes: 4096, MaxFields: 20}
 
-// What two readers could read in two ways is refused, as is what is not HTTP, each with its status.
+// Guards against request smuggling: requests that another parser could interpret differently, and input that is not HTTP, must be
+// rejected with the right status.
 func TestRequestsRefused(t *testing.T) {
 	const ok = "Host: a\r\n"
 	for _, c := range []struct {
 		text   string
 		status int
 	}{
-		{"GET / HTTP/1.1\n" + ok + "\r\n", 400},                            // bare line feed
-		{"GET / HTTP/1.1\r\n" + "Host: a\n\r\n\r\n", 400},                  // within the head
-		{"GET / HTTP/1.1\r\n" + ok + "A: b\r\n c\r\n\r\n", 400},            // folded
-		{"GET / HTTP/1.1\r\n" + ok + "A : b\r\n\r\n", 400},                 // white space ahead of the colon
-		{"GET / HTTP/1.1\r\n" + ok + "A\r\n\r\n", 400},                     // no colon
-		{"GET / HTTP/1.1\r\n" + ok + "A: \x00\r\n\r\n", 400},               // NUL
-		{"GET / HTTP/1.1\r\n\r\n", 400},                                    // no host
-		{"GET / HTTP/1.1\r\n" + ok + ok + "\r\n", 400},                     // two
-		{"GET / HTTP/2.0\r\n" + ok + "\r\n", 505},                          //
-		{"GET  / HTTP/1.1\r\n" + ok + "\r\n", 400},                         // two spaces
-		{"G(T / HTTP/1.1\r\n" + ok + "\r\n", 400},                          //
-		{"GET /\x80 HTTP/1.1\r\n" + ok + "\r\n", 400},                      //
-		{"\x16\x03\x01", 400},                                              // TLS
-		{"POST / HTTP/1.1\r\n" + ok + "Content-Length: -5\r\n\r\n", 400},   //
-		{"POST / HTTP/1.1\r\n" + ok + "Content-Length: +5\r\n\r\n", 400},   //
-		{"POST / HTTP/1.1\r\n" + ok + "Content-Length: 0x5\r\n\r\n", 400},  //
-		{"POST / HTTP/1.1\r\n" + ok + "Content-Length: 5, 5\r\n\r\n", 400}, //
+		{"GET / HTTP/1.1\n" + ok + "\r\n", 400},                          // bare line feed
+		{"GET / HTTP/1.1\r\n" + "Host: a\n\r\n\r\n", 400},                // bare line feed within the head
+		{"GET / HTTP/1.1\r\n" + ok + "A: b\r\n c\r\n\r\n", 400},          // folded line
+		{"GET / HTTP/1.1\r\n" + ok + "A : b\r\n\r\n", 400},               // white space before the colon
+		{"GET / HTTP/1.1\r\n" + ok + "A\r\n\r\n", 400},                   // no colon
+		{"GET / HTTP/1.1\r\n" + ok + "A: \x00\r\n\r\n", 400},             // NUL
+		{"GET / HTTP/1.1\r\n\r\n", 400},                                  // no host
+		{"GET / HTTP/1.1\r\n" + ok + ok + "\r\n", 400},                   // two hosts
+		{"GET / HTTP/2.0\r\n" + ok + "\r\n", 505},                        // unsupported version
+		{"GET  / HTTP/1.1\r\n" + ok + "\r\n", 400},                       // two spaces
+		{"G(T / HTTP/1.1\r\n" + ok + "\r\n", 400},                        // invalid method
+		{"GET /\x80 HTTP/1.1\r\n" + ok + "\r\n", 400},                    // invalid byte in the target
+		{"\x16\x03\x01", 400},                                            // TLS
+		{"POST / HTTP/1.1\r\n" + ok + "Content-Length: -5\r\n\r\n", 400}, // lengths that are not digits only
+		{"POST / HTTP/1.1\r\n" + ok + "Content-Length: +5\r\n\r\n", 400},
+		{"POST / HTTP/1.1\r\n" + ok + "Content-Length: 0x5\r\n\r\n", 400},
+		{"POST / HTTP/1.1\r\n" + ok + "Content-Length: 5, 5\r\n\r\n", 400},
 		{"POST / HTTP/1.1\r\n" + ok + "Content-Length: 99999999999999999999\r\n\r\n", 400},
 		{"POST / HTTP/1.1\r\n" + ok + "Content-Length: 5\r\nContent-Length: 5\r\n\r\n", 400},
 		{"POST / HTTP/1.1\r\n" + ok + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n", 400},
@@ -44,14 +45,14 @@
 		{"GET / HTTP/1.1\r\n" + ok + "A: " + strings.Repeat("b", 5000), 431},
 	} {
 		_, _, err := ParseRequest([]byte(c.text), limits)
-		var f *Fault
+		var f *ProtocolError
 		if !errors.As(err, &f) || f.Status != c.status {
 			t.Errorf("%.80q: %v, want %d", c.text, err, c.status)
 		}
 	}
 }
 
-// A good request is read however it is cut, with its body in either form.
+// A valid request must be parsed in pieces of any size, with a length, with chunks, or without a body.
 func TestRequests(t *testing.T) {
 	for _, c := range []struct{ text, body string }{
 		{"POST /?a=b HTTP/1.1\r\nHost: x\r\nX-Y:  z \r\nContent-Length: 5\r\n\r\nhello", "hello"},
@@ -60,77 +61,81 @@
 	} {
 		for cut := 1; cut <= len(c.text); cut++ {
 			var head *Head
-			var body *Body
+			var body *BodyDecoder
 			var buf, got []byte
 			for from := 0; from < len(c.text); from += cut {
 				buf = append(buf, c.text[from:min(from+cut, len(c.text))]...)
 				if head == nil {
 					h, n, err := ParseRequest(buf, limits)
-					if errors.Is(err, ErrShort) {
+					if errors.Is(err, ErrIncomplete) {
 						continue
 					}
 					if err != nil {
 						t.Fatalf("%q by %d: %v", c.text, cut, err)
 					}
 					head, buf = h, buf[n:]
-					if body, err = h.Body(100); err != nil {
+					if body, err = h.NewBodyDecoder(100); err != nil {
 						t.Fatal(err)
 					}
 				}
 				var n int
 				var err error
-				if got, n, err = body.TakeAll(got, buf); err != nil {
+				if got, n, err = body.DecodeAll(got, buf); err != nil {
 					t.Fatalf("%q by %d: %v", c.text, cut, err)
 				}
 				buf = buf[n:]
 			}
-			if head == nil || !body.Done() || string(got) != c.body || head.Get("x-y") != "z" || head.Target != "/?a=b" || len(buf) > 0 {
+			if head == nil || !body.Done() || string(got) != c.body || head.Get("x-y") != "z" ||
+				head.Target != "/?a=b" || len(buf) > 0 {
 				t.Fatalf("%q by %d: %+v, %q", c.text, cut, head, got)
 			}
 		}
 	}
 }
 
-// Chunks with wrong, negative or huge sizes are refused, and no more than the bound is ever taken.
+// Guards against invalid framing of chunks: wrong, negative or huge sizes must be rejected, and no more bytes than the limit may
+// be accepted.
 func TestChunksRefused(t *testing.T) {
-	for _, text := range []string{"-1\r\nx", "+1\r\nx", "g\r\n", "\r\n", " 1\r\nx\r\n", "0x1\r\nx\r\n", "1_0\r\n", "ffffffffffffffff\r\n",
-		"7fffffffffffffff\r\n", "65\r\n", "1\r\nxx\r\n", "1\nx\r\n", strings.Repeat("0", 80), "1;" + strings.Repeat("e", 80) + "\r\n",
+	for _, text := range []string{"-1\r\nx", "+1\r\nx", "g\r\n", "\r\n", " 1\r\nx\r\n", "0x1\r\nx\r\n", "1_0\r\n",
+		"ffffffffffffffff\r\n", "7fffffffffffffff\r\n", "65\r\n", "1\r\nxx\r\n", "1\nx\r\n", strings.Repeat("0", 80),
+		"1;" + strings.Repeat("e", 80) + "\r\n",
 		"0\r\n" + strings.Repeat("a: b\r\n", 1000), "0\r\na: b\n\r\n", "32\r\n" + strings.Repeat("x", 50) + "\r\n33\r\n"} {
-		h := &Head{Chunked: true, Length: -1}
-		b, err := h.Body(100)
+		h := &Head{Chunked: true, ContentLength: -1}
+		b, err := h.NewBodyDecoder(100)
 		if err != nil {
 			t.Fatal(err)
 		}
-		got, _, err := b.TakeAll(nil, []byte(text))
+		got, _, err := b.DecodeAll(nil, []byte(text))
 		if err == nil || b.Done() || len(got) > 100 {
 			t.Errorf("%.40q: %v, %d bytes", text, err, len(got))
 		}
 	}
-	h := &Head{Length: 60 << 20}
-	if _, err := h.Body(1 << 20); err == nil {
-		t.Error("a body of 60 MB is begun")
+	h := &Head{ContentLength: 60 << 20}
+	if _, err := h.NewBodyDecoder(1 << 20); err == nil {
+		t.Error("a body of 60 MB is accepted")
 	}
 }
 
 func TestResponses(t *testing.T) {
 	h, n, err := ParseResponse([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX: y\r\n\r\nab"), limits)
-	if err != nil || n != 44 || h.Status != 200 || h.Length != 2 || h.Get("x") != "y" || h.Close {
+	if err != nil || n != 44 || h.Status != 200 || h.ContentLength != 2 || h.Get("x") != "y" || h.Close {
 		t.Errorf("%+v, %d, %v", h, n, err)
 	}
-	for _, bad := range []string{"HTTP/1.1 20x OK\r\n\r\n", "HTTP/1.1 99 OK\r\n\r\n", "SPDY 200\r\n\r\n", "HTTP/1.1 200 OK\r\n\r\n",
-		"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n",
+	for _, bad := range []string{"HTTP/1.1 20x OK\r\n\r\n", "HTTP/1.1 99 OK\r\n\r\n", "SPDY 200\r\n\r\n",
+		"HTTP/1.1 200 OK\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n",
+		"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nfoo\r\nContent-Length: 1\r\n\r\n", "HTTP/1.1 200 OK\r\nTransfer-Encoding: zip\r\n\r\n"} {
-		if _, _, err := ParseResponse([]byte(bad), limits); err == nil || errors.Is(err, ErrShort) {
+		if _, _, err := ParseResponse([]byte(bad), limits); err == nil || errors.Is(err, ErrIncomplete) {
 			t.Errorf("%q: %v", bad, err)
 		}
 	}
-	if h, _, err := ParseResponse([]byte("HTTP/1.0 204 -\r\n\r\n"), limits); err != nil || h.Length != 0 || !h.Close {
+	if h, _, err := ParseResponse([]byte("HTTP/1.0 204 -\r\n\r\n"), limits); err != nil || h.ContentLength != 0 || !h.Close {
 		t.Errorf("%+v, %v", h, err)
 	}
 }
 
-// Whatever comes, reading it in one piece and byte by byte gives the same, and a request that is read can be written
-// and read again.
+// Decoding a body at once and byte by byte must give the same result. A request head that was parsed, written out and parsed
+// again must be the same.
 func FuzzRequest(f *testing.F) {
 	f.Add([]byte("POST /?a=b HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhe\r\n0\r\n\r\n"))
 	f.Add([]byte("GET / HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabcGET"))
@@ -139,30 +144,31 @@
 		if err != nil {
 			return
 		}
-		body, err := h.Body(1000)
+		body, err := h.NewBodyDecoder(1000)
 		if err != nil {
 			return
 		}
-		got, used, err := body.TakeAll(nil, text[n:])
-		again, _ := h.Body(1000)
-		var slow []byte
-		var slowErr error
-		at := n
-		for end := n; end <= len(text) && slowErr == nil && !again.Done(); end++ {
+		got, used, err := body.DecodeAll(nil, text[n:])
+		byteDecoder, _ := h.NewBodyDecoder(1000)
+		var gotByBytes []byte
+		var byBytesErr error
+		offset := n
+		for end := n; end <= len(text) && byBytesErr == nil && !byteDecoder.Done(); end++ {
 			var k int
-			slow, k, slowErr = again.TakeAll(slow, text[at:end])
-			at += k
+			gotByBytes, k, byBytesErr = byteDecoder.DecodeAll(gotByBytes, text[offset:end])
+			offset += k
 		}
-		if (err == nil) != (slowErr == nil) || body.Done() != again.Done() || body.Done() && (!bytes.Equal(got, slow) || at != n+used) {
-			t.Errorf("%q: %q %v, then %q %v", text, got, err, slow, slowErr)
+		if (err == nil) != (byBytesErr == nil) || body.Done() != byteDecoder.Done() ||
+			body.Done() && (!bytes.Equal(got, gotByBytes) || offset != n+used) {
+			t.Errorf("%q: %q %v, then %q %v", text, got, err, gotByBytes, byBytesErr)
 		}
 		var b strings.Builder
-		fmt.Fprintf(&b, "%s %s HTTP/1.%d\r\n", h.Method, h.Target, h.Minor)
+		fmt.Fprintf(&b, "%s %s HTTP/1.%d\r\n", h.Method, h.Target, h.MinorVersion)
 		for _, x := range h.Fields {
 			fmt.Fprintf(&b, "%s: %s\r\n", x.Name, x.Value)
 		}
 		b.WriteString("\r\n")
-		if b.Len() > limits.Bytes {
+		if b.Len() > limits.MaxBytes {
 			return
 		}
 		if o, _, err := ParseRequest([]byte(b.String()), limits); err != nil || fmt.Sprint(*o) != fmt.Sprint(*h) {
--- a/internal/net/conn.go
+++ b/internal/net/conn.go
@@ -9,55 +9,56 @@
 	"thymeway/internal/link"
 )
 
-// conn is a connection, accepted or dialled. Its descriptor is closed between two batches of events only, so that no event
-// of a batch can meet another connection of the same number.
+// conn is an accepted or dialled connection. Its descriptor is closed only between two batches of events: a new connection may
+// get the same descriptor number, and would otherwise receive the remaining events of the old one.
 type conn struct {
-	l       *Loop
-	h       link.Handler
-	fd      int
-	pending []byte // written, and not taken by the system yet
-	closed  bool   // by us, or ended: its handler hears no more
-	waits   uint32 // what the poller waits for
+	loop     *Loop
+	handler  link.Handler
+	fd       int
+	pending  []byte // written, but not accepted by the system yet
+	closed   bool   // closed locally or ended; the handler gets at most the Closed call that is scheduled
+	interest uint32 // events that the poller waits for
 }
 
-// await sets what the poller waits for.
-func (c *conn) await(events uint32) {
-	if c.waits == events {
+// setInterest sets the events that the poller waits for.
+func (c *conn) setInterest(events uint32) {
+	if c.interest == events {
 		return
 	}
-	if err := c.l.poll.change(c.fd, events); err != nil {
+	if err := c.loop.poller.modify(c.fd, events); err != nil {
 		c.fail(err)
 		return
 	}
-	c.waits = events
+	c.interest = events
 }
 
-// ready takes what the system tells of the connection.
-func (c *conn) ready(events uint32) {
+// handleEvents processes the events of the connection.
+func (c *conn) handleEvents(events uint32) {
 	if !c.closed && events&writable != 0 && len(c.pending) > 0 {
 		c.flush()
 	}
-	if !c.closed && events&(readable|broken) != 0 {
+	if !c.closed && events&(readable|errorOrHangup) != 0 {
 		c.read()
 	}
 }
 
-// read takes what has come, up to the loop's buffer; the poller tells again of what is left.
+// read reads what has arrived, up to the size of the loop's buffer. As the poller is level-triggered, it reports the
+// connection again if more is left.
 func (c *conn) read() {
-	n, err := c.l.calls.read(c.fd, c.l.buffer)
+	n, err := c.loop.syscalls.read(c.fd, c.loop.buffer)
 	switch {
-	case err != nil && retryable(err):
+	case err != nil && isRetryable(err):
 	case err != nil:
 		c.fail(err)
 	case n == 0:
 		c.fail(io.EOF)
 	default:
-		c.h.Received(c.l.buffer[:n])
-		c.l.Ask()
+		c.handler.Received(c.loop.buffer[:n])
+		c.loop.RequestTurn()
 	}
 }
 
-// Write hands bytes to the system; what it does not take waits.
+// Write sends bytes. Those that the system does not accept now are kept and sent once it does.
 func (c *conn) Write(b []byte) {
 	if c.closed || len(b) == 0 {
 		return
@@ -73,17 +74,17 @@
 	}
 	if len(rest) > 0 {
 		c.pending = append([]byte(nil), rest...)
-		c.await(readable | writable)
+		c.setInterest(readable | writable)
 	}
 }
 
-// send writes until the system takes no more, and returns what is left.
+// send writes until the system accepts no more, and returns the rest.
 func (c *conn) send(b []byte) ([]byte, error) {
 	for len(b) > 0 {
-		n, err := c.l.calls.write(c.fd, b)
+		n, err := c.loop.syscalls.write(c.fd, b)
 		switch {
 		case errors.Is(err, unix.EINTR):
-		case err != nil && retryable(err):
+		case err != nil && isRetryable(err):
 			return b, nil
 		case err != nil:
 			return b, err
@@ -94,7 +95,7 @@
 	return nil, nil
 }
 
-// flush writes what waits.
+// flush writes the pending bytes.
 func (c *conn) flush() {
 	rest, err := c.send(c.pending)
 	if err != nil {
@@ -103,50 +104,52 @@
 	}
 	if len(rest) == 0 {
 		c.pending = nil
-		c.await(readable)
+		c.setInterest(readable)
 		return
 	}
 	c.pending = rest
 }
 
-// fail takes the connection's end, also from within our own writes: its handler hears of it in the next turn.
+// fail ends the connection after an error or the end of input. The handler's Closed is called in the next turn, as fail may
+// be called from within a Write of that handler.
 func (c *conn) fail(err error) {
 	if c.closed {
 		return
 	}
 	c.closed = true
-	c.l.put(func() {
-		c.release()
-		c.h.Closed(ending(err))
+	c.loop.deferCall(func() {
+		c.closeDescriptor()
+		c.handler.Closed(connEndReason(err))
 	})
 }
 
-// release closes the descriptor.
-func (c *conn) release() {
-	delete(c.l.conns, c.fd)
+// closeDescriptor removes the connection from the loop and closes its descriptor.
+func (c *conn) closeDescriptor() {
+	delete(c.loop.conns, c.fd)
 	_ = unix.Close(c.fd)
 }
 
-// Close ends the connection after what is written. Its handler hears no more.
+// Close closes the connection in the next turn, after a last attempt to send the pending bytes. The handler is not called any
+// more.
 func (c *conn) Close() {
 	if c.closed {
 		return
 	}
 	c.closed = true
-	c.l.put(func() {
+	c.loop.deferCall(func() {
 		_, _ = c.send(c.pending)
-		c.release()
+		c.closeDescriptor()
 	})
 }
 
-// Shut ends our side only. Where bytes still wait for the system it is left to Close.
+// CloseWrite closes the sending side. While bytes are pending it does nothing: Close follows and sends them.
 func (c *conn) CloseWrite() {
 	if !c.closed && len(c.pending) == 0 {
 		_ = unix.Shutdown(c.fd, unix.SHUT_WR)
 	}
 }
 
-// Abort closes with a reset: the system drops what the other side has not taken.
+// Abort closes with a reset (linger time 0): the system discards what the other side has not acknowledged.
 func (c *conn) Abort() {
 	if !c.closed {
 		_ = unix.SetsockoptLinger(c.fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
@@ -154,7 +157,7 @@
 	}
 }
 
-// Pending is the number of bytes that the system has not taken yet.
+// Pending returns the number of written bytes that the system has not accepted yet.
 func (c *conn) Pending() int {
 	if c.closed {
 		return 0
@@ -162,7 +165,8 @@
 	return len(c.pending)
 }
 
-// Quiet looks at what the system holds: the loop may not have come to read it yet.
+// Idle reports whether the connection is open and has no unread input. It asks the system, as input may have arrived that the
+// loop has not read yet.
 func (c *conn) Idle() bool {
 	if c.closed {
 		return false
@@ -176,8 +180,8 @@
 	}
 }
 
-// ending is the system's word on the end of a connection.
-func ending(err error) link.EndReason {
+// connEndReason maps a read or write error to the reason for the end of an established connection.
+func connEndReason(err error) link.EndReason {
 	switch {
 	case errors.Is(err, io.EOF):
 		return link.PeerClosed
--- a/internal/net/dial.go
+++ b/internal/net/dial.go
@@ -10,136 +10,139 @@
 	"thymeway/internal/link"
 )
 
-// Tries to begin a connection where the system is short of something for a moment.
+// Retries of a connection that could not be started because of a transient error, such as a shortage of descriptors.
 const (
-	dialTries = 4
-	dialPause = 10.0 // ms before the second try, twice as long before each further one
+	maxDialTries   = 4
+	dialRetryDelay = 10.0 // ms before the second try; doubled for each further one
 )
 
-// dialling is a connection on its way.
-type dialling struct {
-	l     *Loop
-	h     link.Handler
-	addr  netip.AddrPort
-	fd    int
-	tries int
-	timer deadline.Entry // the end of the wait, or the next try
-	until float64        // when the wait ends
+// pendingDial is an outgoing connection that is not established yet.
+type pendingDial struct {
+	loop     *Loop
+	handler  link.Handler
+	addr     netip.AddrPort
+	fd       int
+	tries    int
+	timer    deadline.Entry // runs at the deadline, or for the next try
+	deadline float64        // by which the connection must be established
 }
 
-// Dial starts a connection; see link.Dialer.
+// Dial opens a connection to an address of the form IP:PORT; see link.Dialer.
 func (l *Loop) Dial(addr string, h link.Handler) {
-	ap, err := netip.ParseAddrPort(addr)
+	addrPort, err := netip.ParseAddrPort(addr)
 	if err != nil {
-		l.put(func() { h.Closed(failure(err)) })
+		l.deferCall(func() { h.Closed(dialEndReason(err)) })
 		return
 	}
-	d := &dialling{l: l, h: h, addr: ap, fd: -1, until: l.Now() + l.ConnectTimeout}
-	d.start()
+	d := &pendingDial{loop: l, handler: h, addr: addrPort, fd: -1, deadline: l.Now() + l.ConnectTimeout}
+	d.try()
 }
 
-// start begins the connection, or tries again soon.
-func (d *dialling) start() {
+// try starts to connect. After a transient error it schedules another try, as long as the deadline permits.
+func (d *pendingDial) try() {
 	d.tries++
-	err := d.begin()
+	err := d.connect()
 	if err == nil {
 		d.timer.Do = func() { d.fail(link.Unreachable) }
-		d.l.Deadlines.Set(&d.timer, d.until)
+		d.loop.Deadlines.Set(&d.timer, d.deadline)
 		return
 	}
-	if errors.Is(err, unix.EMFILE) && d.l.Exhausted != nil {
-		d.l.Exhausted()
+	if errors.Is(err, unix.EMFILE) && d.loop.FreeDescriptor != nil {
+		d.loop.FreeDescriptor()
 	}
-	pause := dialPause * float64(int(1)<<(d.tries-1))
-	if !outOfResources(err) && !transient(err) || d.tries == dialTries || d.l.Now()+pause >= d.until {
-		d.l.put(func() { d.h.Closed(failure(err)) })
+	pause := dialRetryDelay * float64(int(1)<<(d.tries-1))
+	if !isResourceShortage(err) && !isTransient(err) || d.tries == maxDialTries || d.loop.Now()+pause >= d.deadline {
+		d.loop.deferCall(func() { d.handler.Closed(dialEndReason(err)) })
 		return
 	}
-	d.timer.Do = d.start
-	d.l.Deadlines.Set(&d.timer, d.l.Now()+pause)
+	d.timer.Do = d.try
+	d.loop.Deadlines.Set(&d.timer, d.loop.Now()+pause)
 }
 
-func (d *dialling) begin() error {
+// connect creates a socket, starts connecting it and adds it to the poller.
+func (d *pendingDial) connect() error {
 	family, sa := sockaddr(d.addr)
-	fd, err := d.l.calls.socket(family)
+	fd, err := d.loop.syscalls.socket(family)
 	if err != nil {
 		return err
 	}
 	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
-	err = d.l.calls.connect(fd, sa)
-	if err == unix.EINPROGRESS || err == unix.EINTR { // interrupted, it goes on by itself
+	err = d.loop.syscalls.connect(fd, sa)
+	if err == unix.EINPROGRESS || err == unix.EINTR { // after an interruption, the system goes on connecting
 		err = nil
 	}
 	if err == nil {
-		err = d.l.poll.add(fd, writable)
+		err = d.loop.poller.add(fd, writable)
 	}
 	if err != nil {
 		_ = unix.Close(fd)
 		return err
 	}
 	d.fd = fd
-	d.l.dialling[fd] = d
+	d.loop.pendingDials[fd] = d
 	return nil
 }
 
-// ready comes once the connection is up, or has failed.
-func (d *dialling) ready() {
+// finish is called when the socket becomes writable: the connection is then established, or has failed.
+func (d *pendingDial) finish() {
 	code, err := unix.GetsockoptInt(d.fd, unix.SOL_SOCKET, unix.SO_ERROR)
 	if err == nil && code != 0 {
 		err = unix.Errno(code)
 	}
 	if err == nil {
-		// Danger: one that was reset as it came up has no far side any more, and no error left to tell.
+		// Danger: a connection that was reset right after it was established may report no error any more. It has no
+		// peer address then, and without this check it would be reported as opened.
 		_, err = unix.Getpeername(d.fd)
 	}
 	if err != nil {
-		d.fail(failure(err))
+		d.fail(dialEndReason(err))
 		return
 	}
-	d.l.Deadlines.Cancel(&d.timer)
-	delete(d.l.dialling, d.fd)
-	c := &conn{l: d.l, h: d.h, fd: d.fd, waits: writable}
-	d.l.conns[d.fd] = c
-	c.await(readable)
+	d.loop.Deadlines.Cancel(&d.timer)
+	delete(d.loop.pendingDials, d.fd)
+	c := &conn{loop: d.loop, handler: d.handler, fd: d.fd, interest: writable}
+	d.loop.conns[d.fd] = c
+	c.setInterest(readable)
 	if !c.closed {
-		c.h.Opened(c)
+		c.handler.Opened(c)
 	}
-	d.l.Ask()
+	d.loop.RequestTurn()
 }
 
-// fail ends it, with its handler told in the next turn.
-func (d *dialling) fail(e link.EndReason) {
-	d.l.Deadlines.Cancel(&d.timer)
-	delete(d.l.dialling, d.fd)
-	d.l.put(func() {
+// fail ends the attempt to connect. The handler's Closed is called in the next turn.
+func (d *pendingDial) fail(e link.EndReason) {
+	d.loop.Deadlines.Cancel(&d.timer)
+	delete(d.loop.pendingDials, d.fd)
+	d.loop.deferCall(func() {
 		_ = unix.Close(d.fd)
-		d.h.Closed(e)
+		d.handler.Closed(e)
 	})
 }
 
-// transient tells whether a connection failed to begin for a reason that may pass in a moment.
-func transient(err error) bool {
+// isTransient reports whether starting a connection failed for a network error that may soon be over.
+func isTransient(err error) bool {
 	return errors.Is(err, unix.ECONNABORTED) || errors.Is(err, unix.ENETUNREACH) || errors.Is(err, unix.ENETDOWN)
 }
 
-// failure is the system's word on a connection that did not come up.
-func failure(err error) link.EndReason {
+// dialEndReason maps the error of a connection that was not established to an end reason.
+func dialEndReason(err error) link.EndReason {
 	switch {
 	case errors.Is(err, unix.ECONNREFUSED):
 		return link.ConnRefused
-	case outOfResources(err):
+	case isResourceShortage(err):
 		return link.NoDescriptor
-	// Danger: one that came up and was reset at once tells nothing of the process behind it.
+	// Danger: a connection that was established and reset at once shows nothing about the process behind it. Reported as
+	// Unreachable, it would count as a failure to connect.
 	case errors.Is(err, unix.ECONNRESET), errors.Is(err, unix.EPIPE), errors.Is(err, unix.ENOTCONN):
 		return link.ConnReset
 	}
 	return link.Unreachable
 }
 
-// sockaddr is an address in the system's form, with its family.
-func sockaddr(ap netip.AddrPort) (family int, sa unix.Sockaddr) {
-	if a := ap.Addr().Unmap(); a.Is4() {
-		return unix.AF_INET, &unix.SockaddrInet4{Port: int(ap.Port()), Addr: a.As4()}
+// sockaddr converts an address to the form of the system calls, and returns its family.
+func sockaddr(addrPort netip.AddrPort) (family int, sa unix.Sockaddr) {
+	if a := addrPort.Addr().Unmap(); a.Is4() {
+		return unix.AF_INET, &unix.SockaddrInet4{Port: int(addrPort.Port()), Addr: a.As4()}
 	}
-	return unix.AF_INET6, &unix.SockaddrInet6{Port: int(ap.Port()), Addr: ap.Addr().As16()}
+	return unix.AF_INET6, &unix.SockaddrInet6{Port: int(addrPort.Port()), Addr: addrPort.Addr().As16()}
 }
--- a/internal/net/faults_test.go
+++ b/internal/net/faults_test.go
@@ -14,47 +14,48 @@
 	"thymeway/internal/link"
 )
 
-// flaky has system calls fail for a moment, by lot, and reads and writes come short.
-func flaky(random *rand.Rand, share float64) syscalls {
-	real := systemCalls()
+// flakySyscalls returns system calls of which a random share fails with temporary errors, and which read and write only parts.
+func flakySyscalls(random *rand.Rand, failShare float64) syscalls {
+	system := systemCalls()
 	fails := func(errs ...error) error {
-		if random.Float64() < share {
+		if random.Float64() < failShare {
 			return errs[random.Intn(len(errs))]
 		}
 		return nil
 	}
-	failed := 0 // calls of socket
-	short := func(b []byte) []byte { return b[:1+random.Intn(len(b))] }
+	failed := 0 // failed calls of socket
+	truncate := func(b []byte) []byte { return b[:1+random.Intn(len(b))] }
 	return syscalls{
 		accept: func(fd int) (int, error) {
-			err := fails(unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.ECONNABORTED, unix.EINTR, unix.EPROTO, unix.EPERM)
+			err := fails(unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.ECONNABORTED, unix.EINTR, unix.EPROTO,
+				unix.EPERM)
 			if err != nil {
 				return -1, err
 			}
-			return real.accept(fd)
+			return system.accept(fd)
 		},
 		read: func(fd int, b []byte) (int, error) {
 			if err := fails(unix.EINTR, unix.EAGAIN, unix.ENOMEM, unix.ENOBUFS); err != nil {
 				return -1, err
 			}
-			return real.read(fd, short(b))
+			return system.read(fd, truncate(b))
 		},
 		write: func(fd int, b []byte) (int, error) {
 			if err := fails(unix.EINTR, unix.EAGAIN, unix.ENOMEM, unix.ENOBUFS); err != nil {
 				return -1, err
 			}
-			return real.write(fd, short(b))
+			return system.write(fd, truncate(b))
 		},
 		socket: func(family int) (int, error) {
-			// So few that no connection fails on all its tries.
-			if err := fails(unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM); err != nil && failed < dialTries-1 {
+			// Fewer failures than tries per connection, so that no connection fails on all its tries.
+			if err := fails(unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM); err != nil && failed < maxDialTries-1 {
 				failed++
 				return -1, err
 			}
-			return real.socket(family)
+			return system.socket(family)
 		},
 		connect: func(fd int, sa unix.Sockaddr) error {
-			err := real.connect(fd, sa)
+			err := system.connect(fd, sa)
 			if fails(unix.EINTR) != nil {
 				return unix.EINTR
 			}
@@ -64,37 +65,39 @@
 			if err := fails(unix.EINTR); err != nil {
 				return -1, err
 			}
-			return real.wait(epoll, events, ms)
+			return system.wait(epoll, events, ms)
 		},
 	}
 }
 
-// bulk writes much and counts what comes back.
-type bulk struct {
-	text []byte
-	got  bytes.Buffer
-	done chan string
+// bulkHandler writes a long text and compares what is echoed.
+type bulkHandler struct {
+	text     []byte
+	received bytes.Buffer
+	done     chan string
 }
 
-func (b *bulk) Opened(c link.Conn) { c.Write(b.text) }
-func (b *bulk) Received(p []byte) {
-	if b.got.Write(p); b.got.Len() == len(b.text) {
-		b.done <- fmt.Sprint(bytes.Equal(b.got.Bytes(), b.text))
+func (b *bulkHandler) Opened(c link.Conn) { c.Write(b.text) }
+func (b *bulkHandler) Received(p []byte) {
+	if b.received.Write(p); b.received.Len() == len(b.text) {
+		b.done <- fmt.Sprint(bytes.Equal(b.received.Bytes(), b.text))
 	}
 }
-func (b *bulk) Closed(e link.EndReason) { b.done <- e.String() }
+func (b *bulkHandler) Closed(e link.EndReason) { b.done <- e.String() }
 
-// EINTR on a read or write ended its connection, and a failing accept the loop.
-func TestConnectionEndsWhenSystemCallFailsForAMoment(t *testing.T) {
+// Guards against temporary errors ending more than they should: EINTR on a read or write used to end the connection, and a failed
+// accept the loop.
+func TestConnectionsSurviveTransientSyscallFailures(t *testing.T) {
 	for seed := int64(1); seed <= 10; seed++ {
 		const connections = 20
-		addr := free(t)
-		l := &Loop{Deadlines: deadline.New(), Now: clock.New().Now, ConnectTimeout: 20000, calls: flaky(rand.New(rand.NewSource(seed)), 0.4),
-			Accept: func(int) link.Handler { return &echo{} }, Turn: func() {}}
+		addr := freeAddr(t)
+		l := &Loop{Deadlines: deadline.New(), Now: clock.New().Now, ConnectTimeout: 20000,
+			syscalls: flakySyscalls(rand.New(rand.NewSource(seed)), 0.4),
+			Accept:   func(int) link.Handler { return &echoHandler{} }, Turn: func() {}}
 		done := make(chan string, connections)
-		l.Ready = func() {
+		l.OnStart = func() {
 			for i := range connections {
-				l.Dial(addr, &bulk{text: bytes.Repeat([]byte(fmt.Sprintf("%04d", i)), 5000), done: done})
+				l.Dial(addr, &bulkHandler{text: bytes.Repeat([]byte(fmt.Sprintf("%04d", i)), 5000), done: done})
 			}
 		}
 		ended := make(chan error, 1)
@@ -103,12 +106,12 @@
 			select {
 			case got := <-done:
 				if got != "true" {
-					t.Errorf("seed %d: a connection ends with %s", seed, got)
+					t.Errorf("seed %d: a connection ended with %s", seed, got)
 				}
 			case err := <-ended:
 				t.Fatalf("seed %d: the loop ended: %v", seed, err)
 			case <-time.After(30 * time.Second):
-				t.Fatalf("seed %d: bytes are lost", seed)
+				t.Fatalf("seed %d: not all bytes were echoed within 30 s", seed)
 			}
 		}
 		l.Do(l.Stop)
@@ -118,8 +121,9 @@
 	}
 }
 
-// A dial that the system is short of something for is told as that, and not as the other side's fault.
-func TestDialBlamesOtherSideWhenSystemIsShort(t *testing.T) {
+// Guards against blaming the other side for a dial that failed for lack of local resources: it must be retried, and then end
+// with NoDescriptor. A descriptor may be freed only if descriptors are what is missing.
+func TestDialReportsLocalResourceShortage(t *testing.T) {
 	for _, fault := range []error{unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EADDRNOTAVAIL, unix.EAGAIN} {
 		calls := systemCalls()
 		tries, freed := 0, 0
@@ -127,25 +131,26 @@
 			tries++
 			return fault
 		}
-		p := &probe{got: make(chan string, 1)}
-		l := &Loop{Deadlines: deadline.New(), Now: clock.New().Now, ConnectTimeout: 5000, calls: calls, Turn: func() {}, Exhausted: func() { freed++ }}
-		l.Ready = func() { l.Dial("127.0.0.1:9", p) }
+		p := &helloHandler{result: make(chan string, 1)}
+		l := &Loop{Deadlines: deadline.New(), Now: clock.New().Now, ConnectTimeout: 5000, syscalls: calls, Turn: func() {},
+			FreeDescriptor: func() { freed++ }}
+		l.OnStart = func() { l.Dial("127.0.0.1:9", p) }
 		ended := make(chan error, 1)
 		go func() { ended <- l.Run() }()
 		select {
-		case got := <-p.got:
+		case got := <-p.result:
 			if got != link.NoDescriptor.String() {
-				t.Errorf("%v: told as %s", fault, got)
+				t.Errorf("%v: reported as %s", fault, got)
 			}
 		case <-time.After(30 * time.Second):
-			t.Fatalf("%v: not told", fault)
+			t.Fatalf("%v: no end reported within 30 s", fault)
 		}
 		l.Do(l.Stop)
 		if err := <-ended; err != nil {
 			t.Error(err)
 		}
-		if tries != dialTries || (freed > 0) != (fault == unix.EMFILE) {
-			t.Errorf("%v: %d tries, %d times a descriptor was asked for", fault, tries, freed)
+		if tries != maxDialTries || (freed > 0) != (fault == unix.EMFILE) {
+			t.Errorf("%v: %d tries, %d calls to free a descriptor", fault, tries, freed)
 		}
 	}
 }
--- a/internal/net/listener.go
+++ b/internal/net/listener.go
@@ -12,57 +12,58 @@
 	"thymeway/internal/deadline"
 )
 
-// Limits and pauses of accepting.
+// Limits and delays of listening and accepting.
 const (
-	acceptBatch = 64   // connections accepted in a row, so that others have their turn
-	acceptPause = 10.0 // ms before another try where accept fails for want of something
-	acceptLog   = 10e3 // ms between two lines on that
-	backlog     = math.MaxUint16
-	listenTries = 100
-	listenPause = 50 * time.Millisecond
+	maxAcceptBatch    = 64   // connections accepted in a row; events of other connections are handled after that
+	acceptRetryDelay  = 10.0 // ms before accepting is resumed after an error such as a shortage of descriptors
+	acceptLogInterval = 10e3 // ms between two log lines about failures to accept
+	listenBacklog     = math.MaxUint16
+	maxListenRetries  = 100
+	listenRetryDelay  = 50 * time.Millisecond
 )
 
-// listener takes connections at one address.
+// listener accepts connections at one address.
 type listener struct {
-	l      *Loop
-	number int // of its address
-	fd     int
-	again  deadline.Entry // the next try after a failure
-	failed int            // failures since the last line
-	toldAt float64
+	loop     *Loop
+	index    int // of its address among those given to Run
+	fd       int
+	retry    deadline.Entry // resumes accepting after a failure
+	failures int            // since the last log line
+	loggedAt float64
 }
 
-// listen opens an address. What the system refuses for a moment is tried again for a while.
-func (l *Loop) listen(number int, addr string) (*listener, error) {
-	ap, err := netip.ParseAddrPort(addr)
+// listen starts listening at an address. If the system lacks resources, it retries for about 5 s.
+func (l *Loop) listen(index int, addr string) (*listener, error) {
+	addrPort, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		return nil, err
 	}
-	x := &listener{l: l, number: number, toldAt: math.Inf(-1)}
+	ln := &listener{loop: l, index: index, loggedAt: math.Inf(-1)}
 	for try := 0; ; try++ {
-		x.fd, err = l.bind(ap)
+		ln.fd, err = l.bind(addrPort)
 		if err == nil {
 			break
 		}
-		if try == listenTries || !outOfResources(err) {
+		if try == maxListenRetries || !isResourceShortage(err) {
 			return nil, fmt.Errorf("listen %s: %w", addr, err)
 		}
-		time.Sleep(listenPause)
+		time.Sleep(listenRetryDelay)
 	}
-	x.again.Do = func() {
-		if err := l.poll.change(x.fd, readable); err != nil {
-			x.pause(err)
+	ln.retry.Do = func() {
+		if err := l.poller.modify(ln.fd, readable); err != nil {
+			ln.pauseAccepting(err)
 		}
 	}
-	return x, l.poll.add(x.fd, readable)
+	return ln, l.poller.add(ln.fd, readable)
 }
 
-func (l *Loop) bind(ap netip.AddrPort) (fd int, err error) {
-	family, sa := sockaddr(ap)
-	if fd, err = l.calls.socket(family); err != nil {
+// bind creates a listening socket.
+func (l *Loop) bind(addrPort netip.AddrPort) (fd int, err error) {
+	family, sa := sockaddr(addrPort)
+	if fd, err = l.syscalls.socket(family); err != nil {
 		return -1, err
 	}
-	// The address of a coordinator that was killed just now has to be free for the next one.
+	// Without these options, a coordinator that replaces a killed one could not bind the same address for a while.
 	for _, option := range []int{unix.SO_REUSEADDR, unix.SO_REUSEPORT} {
 		if err = unix.SetsockoptInt(fd, unix.SOL_SOCKET, option, 1); err != nil {
 			break
@@ -72,7 +73,7 @@
 		err = unix.Bind(fd, sa)
 	}
 	if err == nil {
-		err = unix.Listen(fd, backlog)
+		err = unix.Listen(fd, listenBacklog)
 	}
 	if err != nil {
 		_ = unix.Close(fd)
@@ -81,50 +82,50 @@
 	return fd, nil
 }
 
-// accept takes the connections that wait. A failure ends nothing: one of a connection that has gone again is passed over,
-// any other is tried again after a pause.
-func (x *listener) accept() {
-	for range acceptBatch {
-		fd, err := x.l.calls.accept(x.fd)
+// acceptBatch accepts waiting connections. Errors that concern only the connection to be accepted, which has ended already, are
+// skipped. After any other error, accepting is paused and retried; no error ends the listener.
+func (ln *listener) acceptBatch() {
+	for range maxAcceptBatch {
+		fd, err := ln.loop.syscalls.accept(ln.fd)
 		switch err {
 		case nil:
-			x.l.open(fd, x.number)
+			ln.loop.addConn(fd, ln.index)
 		case unix.EAGAIN:
 			return
 		case unix.EINTR, unix.ECONNABORTED, unix.ECONNRESET, unix.EPROTO, unix.ENOPROTOOPT, unix.ENETDOWN, unix.ENONET,
 			unix.ENETUNREACH, unix.EHOSTDOWN, unix.EHOSTUNREACH, unix.EOPNOTSUPP, unix.ETIMEDOUT:
 		default:
-			x.pause(err)
+			ln.pauseAccepting(err)
 			return
 		}
 	}
 }
 
-// pause lets accepting rest. The connections wait with the system meanwhile, so the pause is short.
-func (x *listener) pause(err error) {
-	x.failed++
-	if now := x.l.Now(); now >= x.toldAt+acceptLog {
-		slog.Warn("accept-failed", "error", err, "n", x.failed)
-		x.failed, x.toldAt = 0, now
+// pauseAccepting stops accepting for a short time, during which new connections wait in the system's backlog.
+func (ln *listener) pauseAccepting(err error) {
+	ln.failures++
+	if now := ln.loop.Now(); now >= ln.loggedAt+acceptLogInterval {
+		slog.Warn("accept-failed", "error", err, "n", ln.failures)
+		ln.failures, ln.loggedAt = 0, now
 	}
-	if x.l.Exhausted != nil {
-		x.l.Exhausted()
+	if ln.loop.FreeDescriptor != nil {
+		ln.loop.FreeDescriptor()
 	}
-	_ = x.l.poll.change(x.fd, 0)
-	x.l.Deadlines.Set(&x.again, x.l.Now()+acceptPause)
+	_ = ln.loop.poller.modify(ln.fd, 0)
+	ln.loop.Deadlines.Set(&ln.retry, ln.loop.Now()+acceptRetryDelay)
 }
 
-// open makes a connection of an accepted descriptor.
-func (l *Loop) open(fd, number int) {
+// addConn adds an accepted connection to the loop, for the listener with the given index.
+func (l *Loop) addConn(fd, index int) {
 	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
-	c := &conn{l: l, fd: fd, waits: readable}
-	if err := l.poll.add(fd, readable); err != nil {
+	c := &conn{loop: l, fd: fd, interest: readable}
+	if err := l.poller.add(fd, readable); err != nil {
 		slog.Warn("accept-failed", "error", err)
 		_ = unix.Close(fd)
 		return
 	}
 	l.conns[fd] = c
-	c.h = l.Accept(number)
-	c.h.Opened(c)
-	l.Ask()
+	c.handler = l.Accept(index)
+	c.handler.Opened(c)
+	l.RequestTurn()
 }
--- a/internal/net/loop.go
+++ b/internal/net/loop.go
@@ -1,5 +1,6 @@
-// Package net puts connection objects on one event loop. It serves clients, worker groups and discovery; all state of the
-// program belongs to its goroutine. A system call that fails for a moment ends neither the loop nor a connection.
+// Package net runs all connections on one event loop based on epoll: those of clients, to worker groups and to the discovery
+// service. All state of the program is accessed only from the goroutine of the loop. System calls that fail temporarily end
+// neither the loop nor a connection.
 package net
 
 import (
@@ -14,121 +15,122 @@
 )
 
 const (
-	readBuffer  = 64 << 10 // bytes read at a time
-	longestWait = 3600e3   // ms
+	readBufferBytes = 64 << 10 // most bytes read at a time
+	maxWait         = 3600e3   // ms
 )
 
-// Loop is the event loop. Turn runs once after each batch of events and when a deadline is due.
+// Loop is the event loop. Each batch of events, due deadline and request for a turn is followed by one turn.
 type Loop struct {
-	Deadlines *deadline.Queue
-	Now       func() float64                  // ms, by the clock of the deadlines
-	Accept    func(listener int) link.Handler // by the number of the address that Run was given
-	Turn      func()
-	Ready     func() // runs once, on the loop, before any event
-	Exhausted func() // may free a descriptor where the system gives none; nil: nothing can be freed
-	// ConnectTimeout is the time in ms in which a connection has to come up.
+	Deadlines      *deadline.Queue
+	Now            func() float64                  // ms, on the clock of Deadlines
+	Accept         func(listener int) link.Handler // makes the handler of a connection; listener: index of its address in Run
+	Turn           func()                          // runs in each turn, after the due deadlines
+	OnStart        func()                          // runs once on the loop, before the first event
+	FreeDescriptor func()                          // called to free a descriptor when the system has none left; may be nil
+	// ConnectTimeout is the time in ms within which a dialled connection has to be established.
 	ConnectTimeout float64
 
-	calls     syscalls
-	poll      poller
-	buffer    []byte
-	conns     map[int]*conn
-	dialling  map[int]*dialling
-	listeners map[int]*listener
-	asked     bool     // a turn is due
-	later     []func() // for the next turn: ends and closes, which must not come from within other calls
-	stopped   bool
-
-	mu      sync.Mutex
-	running bool     // the poller is open
-	woken   bool     // its wait was told to end
-	jobs    []func() // asked for by Do
+	syscalls      syscalls
+	poller        poller
+	buffer        []byte
+	conns         map[int]*conn
+	pendingDials  map[int]*pendingDial
+	listeners     map[int]*listener
+	turnRequested bool     // a turn runs after the current batch of events
+	deferred      []func() // calls for the next turn: closing and Closed, which must not happen within other calls
+	stopped       bool
+
+	mu          sync.Mutex
+	running     bool     // the poller is open, so that Do may wake it
+	wakePending bool     // the poller was woken, and the jobs have not run yet
+	jobs        []func() // given to Do
 }
 
-// Run serves addresses of the form IP:PORT until Stop.
+// Run listens at addresses of the form IP:PORT and runs the loop until Stop is called.
 func (l *Loop) Run(addrs ...string) error {
-	if l.calls.wait == nil {
-		l.calls = systemCalls()
+	if l.syscalls.wait == nil {
+		l.syscalls = systemCalls()
 	}
-	l.buffer = make([]byte, readBuffer)
-	l.conns, l.dialling, l.listeners = map[int]*conn{}, map[int]*dialling{}, map[int]*listener{}
-	if err := l.poll.open(&l.calls); err != nil {
+	l.buffer = make([]byte, readBufferBytes)
+	l.conns, l.pendingDials, l.listeners = map[int]*conn{}, map[int]*pendingDial{}, map[int]*listener{}
+	if err := l.poller.open(&l.syscalls); err != nil {
 		return err
 	}
 	l.setRunning(true)
 	defer l.close()
 	for i, addr := range addrs {
-		x, err := l.listen(i, addr)
+		ln, err := l.listen(i, addr)
 		if err != nil {
 			return err
 		}
-		l.listeners[x.fd] = x
+		l.listeners[ln.fd] = ln
 	}
-	if l.Ready != nil {
-		l.Ready()
+	if l.OnStart != nil {
+		l.OnStart()
 	}
-	l.asked = true
-	return l.serve()
+	l.turnRequested = true
+	return l.runEvents()
 }
 
-// serve takes events and runs turns until Stop.
-func (l *Loop) serve() error {
-	var list []ready
+// runEvents handles events and runs turns until Stop is called.
+func (l *Loop) runEvents() error {
+	var ready []readyDescriptor
 	var err error
 	for !l.stopped {
-		if list, err = l.poll.wait(list[:0], l.waitLimit()); err != nil {
+		if ready, err = l.poller.wait(ready[:0], l.waitLimit()); err != nil {
 			return fmt.Errorf("waiting for events: %w", err)
 		}
-		for _, r := range list {
-			l.take(r)
+		for _, descriptor := range ready {
+			l.dispatch(descriptor)
 		}
 		l.runJobs()
-		if l.asked || l.due() {
-			l.turn()
+		if l.turnRequested || l.deadlineDue() {
+			l.runTurn()
 		}
 	}
 	return nil
 }
 
-// take hands an event to whom it concerns.
-func (l *Loop) take(r ready) {
-	if c := l.conns[r.fd]; c != nil {
-		c.ready(r.events)
-	} else if d := l.dialling[r.fd]; d != nil {
-		d.ready()
-	} else if x := l.listeners[r.fd]; x != nil {
-		x.accept()
+// dispatch passes an event to its connection, pending dial or listener.
+func (l *Loop) dispatch(ready readyDescriptor) {
+	if c := l.conns[ready.fd]; c != nil {
+		c.handleEvents(ready.events)
+	} else if d := l.pendingDials[ready.fd]; d != nil {
+		d.finish()
+	} else if ln := l.listeners[ready.fd]; ln != nil {
+		ln.acceptBatch()
 	}
 }
 
-// waitLimit is how many ms the loop may wait for events; -1: without end.
+// waitLimit returns how many ms the loop may wait for events; -1 means without limit.
 func (l *Loop) waitLimit() int {
-	if l.asked {
+	if l.turnRequested {
 		return 0
 	}
 	at, ok := l.Deadlines.Next()
 	if !ok {
 		return -1
 	}
-	return int(math.Ceil(min(max(at-l.Now(), 0), longestWait)))
+	return int(math.Ceil(min(max(at-l.Now(), 0), maxWait)))
 }
 
-func (l *Loop) due() bool {
+// deadlineDue reports whether a deadline is due.
+func (l *Loop) deadlineDue() bool {
 	at, ok := l.Deadlines.Next()
 	return ok && at <= l.Now()
 }
 
-// Ask asks for a turn, from the loop's own goroutine.
-func (l *Loop) Ask() { l.asked = true }
+// RequestTurn requests a turn. It must be called on the loop's goroutine.
+func (l *Loop) RequestTurn() { l.turnRequested = true }
 
-// Do has something done on the loop, with a turn behind it, from any goroutine. What comes before Run waits for it.
+// Do runs f on the loop, followed by a turn. It may be called from any goroutine; calls made before Run take effect in Run.
 func (l *Loop) Do(f func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.jobs = append(l.jobs, f)
-	if l.running && !l.woken {
-		l.woken = true
-		l.poll.wake()
+	if l.running && !l.wakePending {
+		l.wakePending = true
+		l.poller.wake()
 	}
 }
 
@@ -138,57 +140,60 @@
 	l.running = on
 }
 
+// runJobs runs the functions given to Do.
 func (l *Loop) runJobs() {
 	l.mu.Lock()
 	jobs := l.jobs
-	l.jobs, l.woken = nil, false
+	l.jobs, l.wakePending = nil, false
 	l.mu.Unlock()
 	for _, f := range jobs {
 		f()
-		l.asked = true
+		l.turnRequested = true
 	}
 }
 
-func (l *Loop) turn() {
-	l.asked = false
-	l.flush()
+// runTurn runs one turn: the deferred calls, the due deadlines and Turn.
+func (l *Loop) runTurn() {
+	l.turnRequested = false
+	l.runDeferred()
 	l.Deadlines.RunDue(l.Now())
 	l.Turn()
-	l.flush()
+	l.runDeferred()
 }
 
-// flush runs what was put off. What that puts off in turn is run too.
-func (l *Loop) flush() {
-	for len(l.later) > 0 {
-		todo := l.later
-		l.later = nil
-		for _, f := range todo {
+// runDeferred runs the deferred calls, including those that they defer in turn.
+func (l *Loop) runDeferred() {
+	for len(l.deferred) > 0 {
+		calls := l.deferred
+		l.deferred = nil
+		for _, f := range calls {
 			f()
 		}
 	}
 }
 
-// put puts something off to the next turn.
-func (l *Loop) put(f func()) {
-	l.later = append(l.later, f)
-	l.asked = true
+// deferCall schedules a call for the next turn.
+func (l *Loop) deferCall(f func()) {
+	l.deferred = append(l.deferred, f)
+	l.turnRequested = true
 }
 
-// Stop ends the loop; Run returns.
+// Stop makes Run return. It must be called on the loop's goroutine.
 func (l *Loop) Stop() { l.stopped = true }
 
-// close frees all descriptors, listeners first: who finds his connection ended must not come back to this program.
+// close closes all descriptors, listeners first: a client that finds its connection closed and reconnects at once must not
+// reach this program again.
 func (l *Loop) close() {
 	l.setRunning(false)
 	for fd := range l.listeners {
 		_ = unix.Close(fd)
 	}
-	l.flush()
+	l.runDeferred()
 	for fd := range l.conns {
 		_ = unix.Close(fd)
 	}
-	for fd := range l.dialling {
+	for fd := range l.pendingDials {
 		_ = unix.Close(fd)
 	}
-	l.poll.close()
+	l.poller.close()
 }
--- a/internal/net/loop_test.go
+++ b/internal/net/loop_test.go
@@ -12,29 +12,31 @@
 	"thymeway/internal/link"
 )
 
-// echo is the accepting side; probe the dialling one. All run on the loop.
-type echo struct{ c link.Conn }
+// echoHandler is the accepting side: it sends back what it receives.
+type echoHandler struct{ conn link.Conn }
 
-func (e *echo) Opened(c link.Conn)    { e.c = c }
-func (e *echo) Received(b []byte)     { e.c.Write(b) }
-func (e *echo) Closed(link.EndReason) {}
+func (e *echoHandler) Opened(c link.Conn)    { e.conn = c }
+func (e *echoHandler) Received(b []byte)     { e.conn.Write(b) }
+func (e *echoHandler) Closed(link.EndReason) {}
 
-type probe struct {
-	c    link.Conn
-	got  chan string
-	text string
+// helloHandler is the dialling side: it sends a text and reports its echo, or the reason for the end.
+type helloHandler struct {
+	conn   link.Conn
+	result chan string
+	text   string
 }
 
-func (p *probe) Opened(c link.Conn) { p.c = c; c.Write([]byte("hello")) }
-func (p *probe) Received(b []byte) {
+func (p *helloHandler) Opened(c link.Conn) { p.conn = c; c.Write([]byte("hello")) }
+func (p *helloHandler) Received(b []byte) {
 	if p.text += string(b); len(p.text) == 5 {
-		p.c.Close()
-		p.got <- p.text
+		p.conn.Close()
+		p.result <- p.text
 	}
 }
-func (p *probe) Closed(e link.EndReason) { p.got <- e.String() }
+func (p *helloHandler) Closed(e link.EndReason) { p.result <- e.String() }
 
-func free(t *testing.T) string {
+// freeAddr returns an address whose port was free a moment ago.
+func freeAddr(t *testing.T) string {
 	l, err := stdnet.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -43,12 +45,13 @@
 	return l.Addr().String()
 }
 
-// A dial tells of a refused port, of an address that is none, and of a port that is up.
+// Dial must report an open port, a refused one, an invalid address, and a connection that was reset while it was established.
 func TestDial(t *testing.T) {
-	addr, refused := free(t), free(t)
-	up, no := &probe{got: make(chan string, 2)}, &probe{got: make(chan string, 2)}
-	l := &Loop{Deadlines: deadline.New(), Now: clock.New().Now, ConnectTimeout: 5000, Accept: func(int) link.Handler { return &echo{} }, Turn: func() {}}
-	l.Ready = func() {
+	addr, refused := freeAddr(t), freeAddr(t)
+	up, no := &helloHandler{result: make(chan string, 2)}, &helloHandler{result: make(chan string, 2)}
+	l := &Loop{Deadlines: deadline.New(), Now: clock.New().Now, ConnectTimeout: 5000,
+		Accept: func(int) link.Handler { return &echoHandler{} }, Turn: func() {}}
+	l.OnStart = func() {
 		l.Dial(refused, no)
 		l.Dial(addr, up)
 	}
@@ -64,22 +67,23 @@
 		case err := <-ended:
 			t.Fatalf("the loop ended: %v", err)
 		case <-time.After(30 * time.Second):
-			t.Fatalf("no %q", want)
+			t.Fatalf("no %q within 30 s", want)
 		}
 	}
-	wait(up.got, "hello")
-	wait(no.got, "refused")
-	bad := &probe{got: make(chan string, 2)}
+	wait(up.result, "hello")
+	wait(no.result, "refused")
+	bad := &helloHandler{result: make(chan string, 2)}
 	l.Do(func() { l.Dial("nowhere", bad) })
-	wait(bad.got, "unreached")
-	// Danger: a connection that is reset as it comes up has no far side any more. It has to be told as ended.
+	wait(bad.result, "unreached")
+	// A connection that was reset right after it was established has no peer address any more, like this unconnected
+	// socket. It must be reported as ended, not as opened.
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	gone := &probe{got: make(chan string, 2)}
-	l.Do(func() { (&dialling{l: l, h: gone, fd: fd}).ready() })
-	wait(gone.got, "broken")
+	gone := &helloHandler{result: make(chan string, 2)}
+	l.Do(func() { (&pendingDial{loop: l, handler: gone, fd: fd}).finish() })
+	wait(gone.result, "broken")
 	l.Do(l.Stop)
 	select {
 	case err := <-ended:
@@ -87,6 +91,6 @@
 			t.Error(err)
 		}
 	case <-time.After(30 * time.Second):
-		t.Error("the loop does not end")
+		t.Error("the loop did not end within 30 s")
 	}
 }
--- a/internal/net/poller.go
+++ b/internal/net/poller.go
@@ -6,36 +6,37 @@
 	"golang.org/x/sys/unix"
 )
 
-// What a descriptor is waited for. A closed or broken connection counts as readable.
+// Sets of events to wait for. A connection closed by the peer counts as readable; errorOrHangup is always reported.
 const (
-	readable = unix.EPOLLIN | unix.EPOLLRDHUP
-	writable = unix.EPOLLOUT
-	broken   = unix.EPOLLERR | unix.EPOLLHUP
+	readable      = unix.EPOLLIN | unix.EPOLLRDHUP
+	writable      = unix.EPOLLOUT
+	errorOrHangup = unix.EPOLLERR | unix.EPOLLHUP
 )
 
-const mostEvents = 256 // taken from the system at a time
+const maxEventBatch = 256 // most events returned by one wait
 
-// poller waits for many descriptors at once, and for a wake-up from any goroutine.
+// poller waits for events on many descriptors by epoll, and can be woken from any goroutine.
 type poller struct {
-	epoll  int
-	wakeup int // an eventfd
-	calls  *syscalls
-	events [mostEvents]unix.EpollEvent
+	epollFD  int
+	wakeFD   int // an eventfd
+	syscalls *syscalls
+	events   [maxEventBatch]unix.EpollEvent
 }
 
-// ready is a descriptor with what it is ready for.
-type ready struct {
+// readyDescriptor is a descriptor and its events.
+type readyDescriptor struct {
 	fd     int
 	events uint32
 }
 
+// open creates the epoll instance and the eventfd for wake-ups.
 func (p *poller) open(calls *syscalls) (err error) {
-	p.calls, p.wakeup = calls, -1
-	if p.epoll, err = unix.EpollCreate1(unix.EPOLL_CLOEXEC); err != nil {
+	p.syscalls, p.wakeFD = calls, -1
+	if p.epollFD, err = unix.EpollCreate1(unix.EPOLL_CLOEXEC); err != nil {
 		return err
 	}
-	if p.wakeup, err = unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC); err == nil {
-		err = p.add(p.wakeup, unix.EPOLLIN)
+	if p.wakeFD, err = unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC); err == nil {
+		err = p.add(p.wakeFD, unix.EPOLLIN)
 	}
 	if err != nil {
 		p.close()
@@ -44,7 +45,7 @@
 }
 
 func (p *poller) close() {
-	for _, fd := range []int{p.epoll, p.wakeup} {
+	for _, fd := range []int{p.epollFD, p.wakeFD} {
 		if fd >= 0 {
 			_ = unix.Close(fd)
 		}
@@ -53,47 +54,50 @@
 
 func (p *poller) add(fd int, events uint32) error { return p.control(unix.EPOLL_CTL_ADD, fd, events) }
 
-func (p *poller) change(fd int, events uint32) error {
+func (p *poller) modify(fd int, events uint32) error {
 	return p.control(unix.EPOLL_CTL_MOD, fd, events)
 }
 
 func (p *poller) control(op, fd int, events uint32) error {
-	return unix.EpollCtl(p.epoll, op, fd, &unix.EpollEvent{Events: events, Fd: int32(fd)})
+	return unix.EpollCtl(p.epollFD, op, fd, &unix.EpollEvent{Events: events, Fd: int32(fd)})
 }
 
-// wait appends what is ready to list; ms is the longest wait, -1 for none. An interrupted wait is an empty one.
-func (p *poller) wait(list []ready, ms int) ([]ready, error) {
-	n, err := p.calls.wait(p.epoll, p.events[:], ms)
+// wait appends the descriptors that have events to ready. It waits at most ms milliseconds, or without limit if ms is -1. An
+// interrupted wait appends none.
+func (p *poller) wait(ready []readyDescriptor, ms int) ([]readyDescriptor, error) {
+	n, err := p.syscalls.wait(p.epollFD, p.events[:], ms)
 	if err == unix.EINTR {
-		return list, nil
+		return ready, nil
 	}
 	if err != nil {
-		return list, err
+		return ready, err
 	}
 	for _, e := range p.events[:n] {
-		if int(e.Fd) == p.wakeup {
-			p.drain()
+		if int(e.Fd) == p.wakeFD {
+			p.drainWakeups()
 			continue
 		}
-		list = append(list, ready{int(e.Fd), e.Events})
+		ready = append(ready, readyDescriptor{int(e.Fd), e.Events})
 	}
-	return list, nil
+	return ready, nil
 }
 
-// wake ends a wait, from any goroutine. A full eventfd wakes as well.
+// wake ends the current or next wait. It may be called from any goroutine. If the eventfd is at its maximum count, the write
+// fails, but the wait ends as well, so errors other than an interruption are ignored.
 func (p *poller) wake() {
 	one := binary.NativeEndian.AppendUint64(nil, 1)
 	for {
-		if _, err := unix.Write(p.wakeup, one); err != unix.EINTR {
+		if _, err := unix.Write(p.wakeFD, one); err != unix.EINTR {
 			return
 		}
 	}
 }
 
-func (p *poller) drain() {
+// drainWakeups resets the eventfd.
+func (p *poller) drainWakeups() {
 	var count [8]byte
 	for {
-		if _, err := unix.Read(p.wakeup, count[:]); err != unix.EINTR {
+		if _, err := unix.Read(p.wakeFD, count[:]); err != unix.EINTR {
 			return
 		}
 	}
--- a/internal/net/syscalls.go
+++ b/internal/net/syscalls.go
@@ -6,7 +6,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// syscalls are the system calls that may fail for a moment; tests put failing ones in their place.
+// syscalls are the system calls that may fail temporarily. Tests replace them by failing ones.
 type syscalls struct {
 	accept  func(fd int) (int, error)
 	read    func(fd int, b []byte) (int, error)
@@ -16,6 +16,7 @@
 	wait    func(epoll int, events []unix.EpollEvent, ms int) (int, error)
 }
 
+// systemCalls returns the real system calls.
 func systemCalls() syscalls {
 	return syscalls{
 		accept: func(fd int) (int, error) {
@@ -32,8 +33,8 @@
 	}
 }
 
-// retryable tells whether a read or a write failed for a moment only, and says nothing of its connection.
-func retryable(err error) bool {
+// isRetryable reports whether a read or write failed only temporarily, so that its connection is still usable.
+func isRetryable(err error) bool {
 	switch {
 	case errors.Is(err, unix.EAGAIN), errors.Is(err, unix.EINTR), errors.Is(err, unix.ENOBUFS), errors.Is(err, unix.ENOMEM):
 		return true
@@ -41,8 +42,9 @@
 	return false
 }
 
-// outOfResources tells whether a call failed as this machine or process is short of something.
-func outOfResources(err error) bool {
+// isResourceShortage reports whether a call failed because this machine or process lacks a resource, such as descriptors,
+// memory or ports.
+func isResourceShortage(err error) bool {
 	switch {
 	case errors.Is(err, unix.EMFILE), errors.Is(err, unix.ENFILE), errors.Is(err, unix.ENOBUFS), errors.Is(err, unix.ENOMEM),
 		errors.Is(err, unix.EADDRNOTAVAIL), errors.Is(err, unix.EAGAIN):
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -52,7 +52,7 @@
 // Node is a whole coordinator.
 type Node struct {
 	Coordinator *coordinator.Coordinator
-	Sessions    *pg.Sessions
+	Sessions    *pg.Server
 	Front       *chhttp.Front // nil: no ClickHouse clients are served
 	Watch       *board.Watcher
 	Shapes      *shape.Catalog
@@ -99,9 +99,9 @@
 	clients := max(c.Sockets-wires-reserve, 1)
 	places := &seats.Limiter{MaxConnections: clients, Faults: faults}
 	n := &Node{Coordinator: coord, Shapes: book, seats: places, ch: ch, fleet: fleet, queue: queue, now: now, config: c,
-		Sessions: &pg.Sessions{Coordinator: coord, Deadlines: queue, Faults: faults, Now: now, Margin: answerMargin, Seats: places,
-			MostInput: min(max(int(c.MemoryMB*(1<<20)*inputShare)/clients, leastInput), mostInput),
-			Random:    rand.New(rand.NewSource(int64(c.Seed) + 1))},
+		Sessions: &pg.Server{Coordinator: coord, Deadlines: queue, Faults: faults, Now: now, AnswerMargin: answerMargin, ConnLimiter: places,
+			MaxInputBytes: min(max(int(c.MemoryMB*(1<<20)*inputShare)/clients, leastInput), mostInput),
+			Random:        rand.New(rand.NewSource(int64(c.Seed) + 1))},
 		Watch: &board.Watcher{Dialer: d, Deadlines: queue, Now: now, Listener: coord, Addr: c.DiscoveryAddr, ConnectTimeout: 2 * c.ConnectTimeout,
 			WarmUpTime: c.Scheduler.WarmUpTime}}
 	if c.Local.ClickHouse.Listen != "" {
@@ -214,7 +214,7 @@
 
 // close has all fronts refuse what is new.
 func (n *Node) close() {
-	n.Sessions.Leaving = true
+	n.Sessions.ShuttingDown = true
 	if n.Front != nil {
 		n.Front.Leaving = true
 	}
--- a/internal/pg/message.go
+++ b/internal/pg/message.go
@@ -10,45 +10,45 @@
 	"thymeway/internal/result"
 )
 
-// Codes of the messages without a type, in place of a protocol version.
+// Codes in start-up messages, which have no type byte: a protocol version or a special request.
 const (
-	version3      = 3 << 16
-	cancelRequest = 80877102
-	sslRequest    = 80877103
-	gssRequest    = 80877104
+	protocolVersion3  = 3 << 16
+	cancelRequestCode = 80877102
+	sslRequestCode    = 80877103
+	gssRequestCode    = 80877104
 )
 
-const mostStartup = 10000 // bytes of a message ahead of the start
+const maxStartupBytes = 10000 // most bytes of a start-up message
 
-var errTooLarge = errors.New("message over the size that is read")
+var errMessageTooLarge = errors.New("message over the size that is read")
 
-// message is a message from a client. kind is 0 for those ahead of the start of a session.
+// message is a message from a client. kind is its type byte, or 0 for a message before the start of a session.
 type message struct {
 	kind byte
-	code uint32 // of those
+	code uint32 // of a message before the start of a session
 	body []byte
 }
 
-// cut takes the first message from b. A length of 0 says that more bytes are needed; one that will be too large is
-// known by its head.
-func cut(b []byte, started bool, most int) (m message, n int, err error) {
-	head := 4
+// parseMessage parses the first message in b and returns its length, or 0 if it is not complete yet. A message longer than
+// maxBytes is rejected as soon as its header is complete.
+func parseMessage(b []byte, started bool, maxBytes int) (m message, n int, err error) {
+	headerBytes := 4
 	if started {
-		head = 5
+		headerBytes = 5
 	}
-	if len(b) < head {
+	if len(b) < headerBytes {
 		return m, 0, nil
 	}
-	size := int64(binary.BigEndian.Uint32(b[head-4:]))
+	size := int64(binary.BigEndian.Uint32(b[headerBytes-4:]))
 	switch {
-	case !started && (size < 8 || size > mostStartup):
+	case !started && (size < 8 || size > maxStartupBytes):
 		return m, 0, fmt.Errorf("start-up message of %d bytes", size)
 	case started && size < 4:
 		return m, 0, fmt.Errorf("message of %d bytes", size)
-	case started && size > int64(most):
-		return m, 0, errTooLarge
+	case started && size > int64(maxBytes):
+		return m, 0, errMessageTooLarge
 	}
-	n = int(size) + head - 4
+	n = int(size) + headerBytes - 4
 	if len(b) < n {
 		return m, 0, nil
 	}
@@ -58,81 +58,91 @@
 	return message{code: binary.BigEndian.Uint32(b[4:]), body: b[8:n]}, n, nil
 }
 
-// writer builds messages to a client.
-type writer struct {
-	b     []byte
-	start int
+// messageWriter encodes messages to a client.
+type messageWriter struct {
+	buf          []byte
+	lengthOffset int // in buf, of the length of the message that is being written
 }
 
-func (w *writer) open(kind byte) {
-	w.b = append(w.b, kind, 0, 0, 0, 0)
-	w.start = len(w.b) - 4
+// begin starts a message of the given type; end must follow.
+func (w *messageWriter) begin(kind byte) {
+	w.buf = append(w.buf, kind, 0, 0, 0, 0)
+	w.lengthOffset = len(w.buf) - 4
 }
 
-func (w *writer) close() { binary.BigEndian.PutUint32(w.b[w.start:], uint32(len(w.b)-w.start)) }
+// end fills in the length of the message.
+func (w *messageWriter) end() {
+	binary.BigEndian.PutUint32(w.buf[w.lengthOffset:], uint32(len(w.buf)-w.lengthOffset))
+}
 
-func (w *writer) text(s string) { w.b = append(append(w.b, s...), 0) }
+// cString appends a zero-terminated string.
+func (w *messageWriter) cString(s string) { w.buf = append(append(w.buf, s...), 0) }
 
-func (w *writer) int16(v int) { w.b = binary.BigEndian.AppendUint16(w.b, uint16(v)) }
+func (w *messageWriter) int16(v int) { w.buf = binary.BigEndian.AppendUint16(w.buf, uint16(v)) }
 
-func (w *writer) int32(v uint32) { w.b = binary.BigEndian.AppendUint32(w.b, v) }
+func (w *messageWriter) int32(v uint32) { w.buf = binary.BigEndian.AppendUint32(w.buf, v) }
 
-func (w *writer) ready() {
-	w.open('Z')
-	w.b = append(w.b, 'I')
-	w.close()
+// readyForQuery writes a ReadyForQuery message for a session outside a transaction block.
+func (w *messageWriter) readyForQuery() {
+	w.begin('Z')
+	w.buf = append(w.buf, 'I')
+	w.end()
 }
 
-// started is all that a new session is told.
-func (w *writer) started(pid, secret uint32) {
-	w.open('R')
+// sessionStarted writes all messages that answer a start-up message: AuthenticationOk, ParameterStatus, BackendKeyData and
+// ReadyForQuery.
+func (w *messageWriter) sessionStarted(pid, secret uint32) {
+	w.begin('R')
 	w.int32(0)
-	w.close()
+	w.end()
 	for _, p := range [][2]string{{"server_version", "16.0"}, {"server_encoding", "UTF8"}, {"client_encoding", "UTF8"},
 		{"DateStyle", "ISO, MDY"}, {"integer_datetimes", "on"}, {"standard_conforming_strings", "on"}} {
-		w.open('S')
-		w.text(p[0])
-		w.text(p[1])
-		w.close()
+		w.begin('S')
+		w.cString(p[0])
+		w.cString(p[1])
+		w.end()
 	}
-	w.open('K')
+	w.begin('K')
 	w.int32(pid)
 	w.int32(secret)
-	w.close()
-	w.ready()
+	w.end()
+	w.readyForQuery()
 }
 
-func (w *writer) failure(severity, code, text string) {
-	w.open('E')
+// errorResponse writes an ErrorResponse message.
+func (w *messageWriter) errorResponse(severity, code, text string) {
+	w.begin('E')
 	for _, f := range []struct {
-		k byte
-		v string
+		fieldType byte
+		value     string
 	}{{'S', severity}, {'V', severity}, {'C', code}, {'M', text}} {
-		w.b = append(w.b, f.k)
-		w.text(f.v)
+		w.buf = append(w.buf, f.fieldType)
+		w.cString(f.value)
 	}
-	w.b = append(w.b, 0)
-	w.close()
+	w.buf = append(w.buf, 0)
+	w.end()
 }
 
-func (w *writer) plain(kind byte) {
-	w.open(kind)
-	w.close()
+// emptyMessage writes a message without a body.
+func (w *messageWriter) emptyMessage(kind byte) {
+	w.begin(kind)
+	w.end()
 }
 
-// result writes all rows, in order and unchanged, and the end of the command.
-func (w *writer) result(r *result.Set) {
+// resultSet writes all rows, in order and unchanged, and CommandComplete. Every column is described as text. Statements other
+// than SELECT and WITH get a RowDescription only if they have rows.
+func (w *messageWriter) resultSet(set *result.Set) {
 	const oidText = 25
-	count, described, verb, columns := 0, false, r.Verb, r.Cols()
+	count, described, verb, columns := 0, false, set.Verb, set.ColumnsOrDefault()
 	describe := func() {
 		if described {
 			return
 		}
 		described = true
-		w.open('T')
+		w.begin('T')
 		w.int16(len(columns))
 		for _, c := range columns {
-			w.text(strings.ReplaceAll(c.Name, "\x00", ""))
+			w.cString(strings.ReplaceAll(c.Name, "\x00", ""))
 			w.int32(0)
 			w.int16(0)
 			w.int32(oidText)
@@ -140,14 +150,14 @@
 			w.int32(0xffffffff)
 			w.int16(0)
 		}
-		w.close()
+		w.end()
 	}
 	if verb == "SELECT" || verb == "WITH" || verb == "" {
 		describe()
 	}
-	_ = r.Each(func(row []result.Cell) error {
+	_ = set.EachRow(func(row []result.Cell) error {
 		describe()
-		w.open('D')
+		w.begin('D')
 		w.int16(len(row))
 		for _, c := range row {
 			if c.Null {
@@ -155,9 +165,9 @@
 				continue
 			}
 			w.int32(uint32(len(c.Text)))
-			w.b = append(w.b, c.Text...)
+			w.buf = append(w.buf, c.Text...)
 		}
-		w.close()
+		w.end()
 		count++
 		return nil
 	})
@@ -168,7 +178,7 @@
 	case "WITH", "":
 		tag = "SELECT " + strconv.Itoa(count)
 	}
-	w.open('C')
-	w.text(tag)
-	w.close()
+	w.begin('C')
+	w.cString(tag)
+	w.end()
 }
--- a/internal/pg/session.go
+++ b/internal/pg/session.go
@@ -1,5 +1,4 @@
-// Package pg speaks the clients' protocol: PostgreSQL's 3.0, simple queries only. A session is the object behind a
-// client's connection.
+// Package pg serves clients over version 3.0 of the PostgreSQL protocol, for simple queries only.
 package pg
 
 import (
@@ -18,372 +17,380 @@
 	"thymeway/internal/tally"
 )
 
-// Error codes of PostgreSQL. Classes 53 and 57P03 say that a new try is harmless: only what surely may be
-// refused gets them.
+// SQLSTATE codes. Class 53 and 57P03 tell the client that a retry is harmless, so they are sent only where
+// that is certain.
 const (
-	codeRefused  = "53000" // insufficient_resources
-	codeTooMany  = "53300" // too_many_connections
-	codeLeaving  = "57P03" // cannot_connect_now
-	codeFailed   = "58000" // system_error
-	codeCanceled = "57014" // query_canceled
-	codeSyntax   = "42601" // syntax_error
-	codeProtocol = "08P01" // protocol_violation
-	codeFeature  = "0A000" // feature_not_supported
-	codeTooLarge = "54000" // program_limit_exceeded
+	codeRefused      = "53000" // insufficient_resources
+	codeTooManyConns = "53300" // too_many_connections
+	codeShuttingDown = "57P03" // cannot_connect_now
+	codeFailed       = "58000" // system_error
+	codeCanceled     = "57014" // query_canceled
+	codeSyntax       = "42601" // syntax_error
+	codeProtocol     = "08P01" // protocol_violation
+	codeFeature      = "0A000" // feature_not_supported
+	codeTooLarge     = "54000" // program_limit_exceeded
 )
 
-// Limits of what a session may take from the others, times in ms.
+// Limits that keep one session from taking resources from the others. Times are in ms.
 const (
-	firstWithin = 2300.0  // from connecting to the first whole message, and for each later one from its first byte
-	faultsFree  = 4       // faulty messages in a row that are answered as fast as they come
-	faultPause  = 50.0    // after each further one: a client that repeats it at once would take the turns of others
-	mostFaults  = 64      // of them before the session is ended
-	mostATurn   = 32      // messages handled in one turn
-	mostUnread  = 1 << 20 // bytes that a client may leave unread
-	marginMost  = 0.1     // share of a client's limit that the margin for the way back may take
+	messageTimeout     = 2300.0  // from connecting to the first complete message; for each later one from its first byte
+	maxUndelayedFaults = 4       // invalid queries in a row that are answered without delay
+	faultDelay         = 50.0    // delay after each further one: immediate repeats would occupy the event loop
+	maxFaults          = 64      // invalid queries in a row after which the session is closed
+	maxMessagesPerTurn = 32      // messages of a session handled in one event-loop turn
+	maxUnreadBytes     = 1 << 20 // bytes of answers that a client may leave unread
+	maxMarginShare     = 0.1     // share of a client's time limit that the answer margin may take
 )
 
-// Coordinator is the side that takes the requests.
+// Coordinator processes requests. Check validates a request and returns the error for the client. Take accepts a request; the
+// answer follows by a call of its Client. Drop withdraws an accepted request, which then gets no answer.
 type Coordinator interface {
 	Check(r *coordinator.Request) error
 	Take(r *coordinator.Request)
 	Drop(r *coordinator.Request)
 }
 
-// Sessions are all sessions of the program.
-type Sessions struct {
-	Coordinator Coordinator
-	Deadlines   *deadline.Queue
-	Faults      *tally.FaultLog
-	Now         func() float64
-	Margin      float64 // ms by which an answer is due before the client's limit: the way back
-	Seats       *seats.Limiter
-	MostInput   int // bytes of a message, and of what waits behind an open query
-	Random      *rand.Rand
-	Leaving     bool // new queries are refused
-	open        map[uint32]*Session
+// Server holds all PostgreSQL sessions and what they share.
+type Server struct {
+	Coordinator   Coordinator
+	Deadlines     *deadline.Queue
+	Faults        *tally.FaultLog
+	Now           func() float64
+	AnswerMargin  float64 // ms before the client's time limit by which the answer is due, for its way to the client
+	ConnLimiter   *seats.Limiter
+	MaxInputBytes int // largest size of a message, and of the messages that wait for the end of an open query
+	Random        *rand.Rand
+	ShuttingDown  bool                // new queries are rejected
+	sessions      map[uint32]*Session // started ones, by process id
 }
 
-// Pending is the number of bytes on their way to all clients that the system has not taken yet.
-func (a *Sessions) Pending() (n int) {
-	for _, s := range a.open {
-		n += s.c.Pending()
+// Pending returns the number of bytes to all clients that the system has not accepted yet.
+func (srv *Server) Pending() (n int) {
+	for _, s := range srv.sessions {
+		n += s.conn.Pending()
 	}
 	return n
 }
 
 // Session is one client's connection.
 type Session struct {
-	all     *Sessions
-	c       link.Conn
-	buf     []byte
-	started bool
-	closed  bool
-	busy    bool // messages are being handled
-	skip    bool // an extended query failed: messages are passed over up to its Sync
-	excess  bool
-	paused  bool // until again is due
-	faults  int  // in a row
-	pid     uint32
-	secret  uint32
-	req     *coordinator.Request
-	seat    *seats.Slot
-	late    deadline.Entry // the end of the wait for a whole message
-	again   deadline.Entry // when messages are handled again
+	server       *Server
+	conn         link.Conn
+	input        []byte
+	started      bool
+	closed       bool
+	processing   bool   // processInput is running
+	skipToSync   bool   // an extended query was rejected: messages are ignored up to its Sync
+	overLimit    bool   // the limit of connections is exceeded: queries are rejected
+	paused       bool   // until resumeTimer is due
+	faultsInRow  int    // invalid queries since the last valid one
+	pid          uint32 // process id and secret key of the session, for CancelRequest
+	secret       uint32
+	request      *coordinator.Request // the open query; nil: none
+	slot         *seats.Slot
+	messageTimer deadline.Entry // ends the wait for a complete message
+	resumeTimer  deadline.Entry // ends a pause
 }
 
-// Accept makes the object behind a new connection.
-func (a *Sessions) Accept() *Session {
-	if a.open == nil {
-		a.open = map[uint32]*Session{}
+// Accept returns the session for a new connection.
+func (srv *Server) Accept() *Session {
+	if srv.sessions == nil {
+		srv.sessions = map[uint32]*Session{}
 	}
-	s := &Session{all: a}
-	s.late.Do = func() { s.fatal("client-slow", codeProtocol, "no whole message in time") }
-	s.again.Do = func() {
+	s := &Session{server: srv}
+	s.messageTimer.Do = func() { s.failSession("client-slow", codeProtocol, "no whole message in time") }
+	s.resumeTimer.Do = func() {
 		s.paused = false
-		s.proceed()
+		s.processInput()
 	}
 	return s
 }
 
-// Opened comes first.
+// Opened implements link.Handler.
 func (s *Session) Opened(c link.Conn) {
-	a := s.all
-	s.c = c
+	srv := s.server
+	s.conn = c
 	ok := false
-	if s.seat, s.excess, ok = a.Seats.Acquire(s); !ok {
+	if s.slot, s.overLimit, ok = srv.ConnLimiter.Acquire(s); !ok {
 		s.close()
 		return
 	}
-	a.Deadlines.Set(&s.late, a.Now()+firstWithin)
-	s.seat.MarkUnused()
+	srv.Deadlines.Set(&s.messageTimer, srv.Now()+messageTimeout)
+	s.slot.MarkUnused()
 }
 
-// Quiet and Push are for the seat.
-func (s *Session) InputEmpty() bool { return s.c.Idle() }
+// InputEmpty implements seats.Connection.
+func (s *Session) InputEmpty() bool { return s.conn.Idle() }
 
-// Push makes the session give way.
+// Evict implements seats.Connection: it closes the session in favor of a new connection.
 func (s *Session) Evict() { s.close() }
 
-// Received takes bytes, however they are cut.
+// Received implements link.Handler. A message may arrive in any number of pieces.
 func (s *Session) Received(b []byte) {
 	if s.closed {
 		return
 	}
-	s.seat.MarkBusy()
-	s.buf = append(s.buf, b...)
-	s.proceed()
+	s.slot.MarkBusy()
+	s.input = append(s.input, b...)
+	s.processInput()
 }
 
-// proceed handles the messages that have come whole. Those behind an open query wait for its answer.
-func (s *Session) proceed() {
-	if s.busy || s.closed { // danger: an answer given at once would handle the same message again
+// processInput handles the complete messages of the input. While a query is open, the messages behind it wait for its answer.
+func (s *Session) processInput() {
+	// Danger: a query that is answered at once calls processInput again, which would handle the same message twice.
+	if s.processing || s.closed {
 		return
 	}
-	s.busy = true
-	defer func() { s.busy = false }()
-	a, used, whole := s.all, 0, true
-	for n := 0; s.req == nil && !s.closed && !s.paused; n++ {
-		if n == mostATurn { // danger: others wait for this turn to end
+	s.processing = true
+	defer func() { s.processing = false }()
+	srv, consumed, complete := s.server, 0, true
+	for handled := 0; s.request == nil && !s.closed && !s.paused; handled++ {
+		if handled == maxMessagesPerTurn { // danger: during a flood of messages, other sessions would wait for this turn to end
 			s.pause(0)
 			break
 		}
-		m, size, err := cut(s.buf[used:], s.started, a.MostInput)
+		m, size, err := parseMessage(s.input[consumed:], s.started, srv.MaxInputBytes)
 		if err != nil {
 			code := codeProtocol
-			if s.started && err == errTooLarge {
+			if s.started && err == errMessageTooLarge {
 				code = codeTooLarge
 			}
-			s.fatal("client-garbled", code, err.Error())
+			s.failSession("client-garbled", code, err.Error())
 			return
 		}
-		if whole = size > 0; !whole {
+		if complete = size > 0; !complete {
 			break
 		}
-		used += size
+		consumed += size
 		if !s.started {
-			s.startup(m)
+			s.handleStartup(m)
 			continue
 		}
-		a.Deadlines.Cancel(&s.late)
-		s.message(m)
+		srv.Deadlines.Cancel(&s.messageTimer)
+		s.handleMessage(m)
 	}
 	if s.closed {
 		return
 	}
-	s.buf = append(s.buf[:0], s.buf[used:]...)
+	s.input = append(s.input[:0], s.input[consumed:]...)
 	switch {
-	case len(s.buf) > a.MostInput+5: // danger: a client that writes on and on behind an open query
-		s.fatal("client-garbled", codeTooLarge, fmt.Sprintf("over %d bytes behind an open query", a.MostInput))
+	case len(s.input) > srv.MaxInputBytes+5: // danger: a client that keeps sending behind an open query would exhaust the memory
+		s.failSession("client-garbled", codeTooLarge, fmt.Sprintf("over %d bytes behind an open query", srv.MaxInputBytes))
 		return
-	case s.c.Pending() > mostUnread:
-		s.fatal("client-deaf", codeTooLarge, "answers are not read")
+	case s.conn.Pending() > maxUnreadBytes:
+		s.failSession("client-deaf", codeTooLarge, "answers are not read")
 		return
-	case len(s.buf) == 0:
-		s.buf = nil
-		if s.started && s.req == nil {
-			s.seat.MarkIdle()
+	case len(s.input) == 0:
+		s.input = nil
+		if s.started && s.request == nil {
+			s.slot.MarkIdle()
 		}
-	case !whole && !s.late.Scheduled():
-		a.Deadlines.Set(&s.late, a.Now()+firstWithin)
+	case !complete && !s.messageTimer.Scheduled():
+		srv.Deadlines.Set(&s.messageTimer, srv.Now()+messageTimeout)
 	}
 }
 
-// pause puts the next message off.
-func (s *Session) pause(span float64) {
+// pause stops handling messages for a period in ms; 0: until the next turn.
+func (s *Session) pause(period float64) {
 	s.paused = true
-	s.all.Deadlines.Set(&s.again, s.all.Now()+span)
+	s.server.Deadlines.Set(&s.resumeTimer, s.server.Now()+period)
 }
 
-// fault answers a message that can't be used.
-func (s *Session) fault(code, text string) {
-	s.all.Faults.Add("client-fault", "code", code, "error", text)
-	if s.faults++; s.faults > mostFaults {
-		s.fail("FATAL", code, text)
+// rejectQuery answers an invalid query with an error. It delays the messages of a client that sends many in a row, and
+// finally closes the session.
+func (s *Session) rejectQuery(code, text string) {
+	s.server.Faults.Add("client-fault", "code", code, "error", text)
+	if s.faultsInRow++; s.faultsInRow > maxFaults {
+		s.sendError("FATAL", code, text)
 		s.close()
 		return
 	}
-	s.fail("ERROR", code, text)
-	if s.faults > faultsFree {
-		s.pause(faultPause)
+	s.sendError("ERROR", code, text)
+	if s.faultsInRow > maxUndelayedFaults {
+		s.pause(faultDelay)
 	}
 }
 
-func (s *Session) startup(m message) {
+// handleStartup handles a message before the start of the session.
+func (s *Session) handleStartup(m message) {
 	switch m.code {
-	case sslRequest, gssRequest:
-		s.c.Write([]byte{'N'})
-	case cancelRequest:
+	case sslRequestCode, gssRequestCode:
+		s.conn.Write([]byte{'N'})
+	case cancelRequestCode:
 		if len(m.body) == 8 {
-			s.all.cancel(binary.BigEndian.Uint32(m.body), binary.BigEndian.Uint32(m.body[4:]))
+			s.server.cancelQuery(binary.BigEndian.Uint32(m.body), binary.BigEndian.Uint32(m.body[4:]))
 		}
 		s.close()
-	case version3:
+	case protocolVersion3:
 		s.started = true
-		for s.pid == 0 || s.all.open[s.pid] != nil {
-			s.pid = uint32(s.all.Random.Int31())
+		for s.pid == 0 || s.server.sessions[s.pid] != nil {
+			s.pid = uint32(s.server.Random.Int31())
 		}
-		s.secret = s.all.Random.Uint32()
-		s.all.open[s.pid] = s
-		var w writer
-		w.started(s.pid, s.secret)
-		s.c.Write(w.b)
+		s.secret = s.server.Random.Uint32()
+		s.server.sessions[s.pid] = s
+		var w messageWriter
+		w.sessionStarted(s.pid, s.secret)
+		s.conn.Write(w.buf)
 	default:
-		s.fatal("client-garbled", codeProtocol, fmt.Sprintf("unsupported protocol %d.%d", m.code>>16, m.code&0xffff))
+		s.failSession("client-garbled", codeProtocol, fmt.Sprintf("unsupported protocol %d.%d", m.code>>16, m.code&0xffff))
 	}
 }
 
-// cancel is a CancelRequest. A wrong key is passed over, as PostgreSQL does.
-func (a *Sessions) cancel(pid, secret uint32) {
-	s := a.open[pid]
-	if s == nil || s.secret != secret || s.req == nil {
+// cancelQuery handles a CancelRequest. A request with a wrong key is ignored, as in PostgreSQL.
+func (srv *Server) cancelQuery(pid, secret uint32) {
+	s := srv.sessions[pid]
+	if s == nil || s.secret != secret || s.request == nil {
 		return
 	}
-	r := s.req
-	s.answered()
-	a.Coordinator.Drop(r)
-	s.fail("ERROR", codeCanceled, "canceling statement due to user request")
-	s.proceed()
+	r := s.request
+	s.clearRequest()
+	srv.Coordinator.Drop(r)
+	s.sendError("ERROR", codeCanceled, "canceling statement due to user request")
+	s.processInput()
 }
 
-func (s *Session) message(m message) {
-	if s.skip && m.kind != 'S' && m.kind != 'X' {
+// handleMessage handles a message of a started session.
+func (s *Session) handleMessage(m message) {
+	if s.skipToSync && m.kind != 'S' && m.kind != 'X' {
 		return
 	}
 	switch m.kind {
 	case 'Q':
 		text, ok := strings.CutSuffix(string(m.body), "\x00")
 		if !ok || strings.IndexByte(text, 0) >= 0 {
-			s.fatal("client-garbled", codeProtocol, "query without its end")
+			s.failSession("client-garbled", codeProtocol, "query without its end")
 			return
 		}
-		s.query(text)
+		s.handleQuery(text)
 	case 'X':
 		s.close()
 	case 'S':
-		s.skip = false
-		var w writer
-		w.ready()
-		s.c.Write(w.b)
+		s.skipToSync = false
+		var w messageWriter
+		w.readyForQuery()
+		s.conn.Write(w.buf)
 	case 'P', 'B', 'D', 'E', 'C', 'F', 'H':
-		s.skip = m.kind != 'F' // a function call has no Sync
-		var w writer
-		w.failure("ERROR", codeFeature, "only simple queries are served")
-		if !s.skip {
-			w.ready()
+		s.skipToSync = m.kind != 'F' // a function call has no Sync
+		var w messageWriter
+		w.errorResponse("ERROR", codeFeature, "only simple queries are served")
+		if !s.skipToSync {
+			w.readyForQuery()
 		}
-		s.c.Write(w.b)
-	case 'd', 'c', 'f': // what is left of a copy, as PostgreSQL passes it over
+		s.conn.Write(w.buf)
+	case 'd', 'c', 'f': // the rest of a COPY, ignored as in PostgreSQL
 	default:
-		s.fatal("client-garbled", codeProtocol, fmt.Sprintf("unknown message %q", m.kind))
+		s.failSession("client-garbled", codeProtocol, fmt.Sprintf("unknown message %q", m.kind))
 	}
 }
 
-func (s *Session) query(text string) {
+// handleQuery passes a query to the coordinator, or answers it with an error.
+func (s *Session) handleQuery(text string) {
 	if strings.Trim(text, " \t\r\n;") == "" {
-		var w writer
-		w.plain('I')
-		w.ready()
-		s.c.Write(w.b)
+		var w messageWriter
+		w.emptyMessage('I')
+		w.readyForQuery()
+		s.conn.Write(w.buf)
 		return
 	}
-	r, limit, err := fields.Read(text)
+	r, timeLimit, err := fields.Parse(text)
 	if err == nil {
-		err = s.all.Coordinator.Check(r)
+		err = s.server.Coordinator.Check(r)
 	}
 	switch {
 	case err != nil:
-		s.fault(codeSyntax, err.Error())
+		s.rejectQuery(codeSyntax, err.Error())
 		return
-	case s.all.Leaving:
-		s.fail("FATAL", codeLeaving, "the coordinator shuts down")
+	case s.server.ShuttingDown:
+		s.sendError("FATAL", codeShuttingDown, "the coordinator shuts down")
 		s.close()
 		return
-	case s.excess: // it never goes out, so a new try is harmless
-		s.fail("FATAL", codeTooMany, "too many connections, later=500")
+	case s.overLimit: // the query was not sent to any engine, so a retry is harmless
+		s.sendError("FATAL", codeTooManyConns, "too many connections, later=500")
 		s.close()
 		return
 	}
-	r.Deadline = s.all.Now() + limit - math.Min(s.all.Margin, limit*marginMost)
+	r.Deadline = s.server.Now() + timeLimit - math.Min(s.server.AnswerMargin, timeLimit*maxMarginShare)
 	r.Client, r.Protocol = s, "postgres"
-	s.req, s.faults = r, 0
-	s.all.Coordinator.Take(r)
+	s.request, s.faultsInRow = r, 0
+	s.server.Coordinator.Take(r)
 }
 
-// answered takes the open request off the session.
-func (s *Session) answered() { s.req = nil }
+// clearRequest marks the open request as answered.
+func (s *Session) clearRequest() { s.request = nil }
 
-// fail answers with an error and, if the session goes on, that it is ready.
-func (s *Session) fail(severity, code, text string) {
-	var w writer
-	w.failure(severity, code, text)
+// sendError sends an error and, if its severity lets the session continue, ReadyForQuery.
+func (s *Session) sendError(severity, code, text string) {
+	var w messageWriter
+	w.errorResponse(severity, code, text)
 	if severity == "ERROR" {
-		w.ready()
+		w.readyForQuery()
 	}
-	s.c.Write(w.b)
+	s.conn.Write(w.buf)
 }
 
-// Serve answers with a whole result.
-func (s *Session) Serve(r *result.Set) {
-	s.answered()
-	w := writer{b: make([]byte, 0, 1024)}
-	w.result(r)
-	w.ready()
-	s.c.Write(w.b)
-	s.proceed()
+// Serve implements coordinator.Client: it sends a complete result.
+func (s *Session) Serve(set *result.Set) {
+	s.clearRequest()
+	w := messageWriter{buf: make([]byte, 0, 1024)}
+	w.resultSet(set)
+	w.readyForQuery()
+	s.conn.Write(w.buf)
+	s.processInput()
 }
 
-// Refuse answers that a new try is harmless.
-func (s *Session) Refuse(comeBack float64) {
-	s.answered()
+// Refuse implements coordinator.Client: it sends an error whose code tells the client that a retry is harmless.
+func (s *Session) Refuse(retryAfter float64) {
+	s.clearRequest()
 	text := "the worker groups have no room"
-	if comeBack > 0 {
-		text += fmt.Sprintf(", later=%d", int(math.Ceil(comeBack)))
+	if retryAfter > 0 {
+		text += fmt.Sprintf(", later=%d", int(math.Ceil(retryAfter)))
 	}
-	s.fail("ERROR", codeRefused, text)
-	s.proceed()
+	s.sendError("ERROR", codeRefused, text)
+	s.processInput()
 }
 
-// Fail answers without a promise.
-func (s *Session) Fail(why string) {
-	s.answered()
-	s.fail("ERROR", codeFailed, why)
-	s.proceed()
+// Fail implements coordinator.Client: it sends an error that does not promise that a retry is harmless.
+func (s *Session) Fail(message string) {
+	s.clearRequest()
+	s.sendError("ERROR", codeFailed, message)
+	s.processInput()
 }
 
-// fatal answers what can't be read, and ends the session. What still comes is not read.
-func (s *Session) fatal(event, code, text string) {
-	s.all.Faults.Add(event, "code", code, "error", text)
-	s.fail("FATAL", code, text)
+// failSession logs a fault, sends it as a fatal error and closes the session. Further input is not read.
+func (s *Session) failSession(event, code, text string) {
+	s.server.Faults.Add(event, "code", code, "error", text)
+	s.sendError("FATAL", code, text)
 	s.close()
 }
 
+// close closes the connection and ends the session.
 func (s *Session) close() {
 	if s.closed {
 		return
 	}
-	s.c.Close()
-	s.gone()
+	s.conn.Close()
+	s.cleanUp()
 }
 
-// Closed comes when the connection ends by itself. Like PostgreSQL, it takes a client that closes its side for one
-// that has left: nothing tells a half-closed connection from a closed one.
+// Closed implements link.Handler. As in PostgreSQL, a client that closes its sending side counts as gone, since a half-closed
+// connection cannot be told from a closed one.
 func (s *Session) Closed(link.EndReason) {
 	if !s.closed {
-		s.gone()
+		s.cleanUp()
 	}
 }
 
-func (s *Session) gone() {
-	s.closed, s.buf = true, nil
-	s.seat.Release()
-	s.all.Deadlines.Cancel(&s.late)
-	s.all.Deadlines.Cancel(&s.again)
+// cleanUp releases everything that the session holds and withdraws its open request.
+func (s *Session) cleanUp() {
+	s.closed, s.input = true, nil
+	s.slot.Release()
+	s.server.Deadlines.Cancel(&s.messageTimer)
+	s.server.Deadlines.Cancel(&s.resumeTimer)
 	if s.started {
-		delete(s.all.open, s.pid)
+		delete(s.server.sessions, s.pid)
 	}
-	if r := s.req; r != nil {
-		s.answered()
-		s.all.Coordinator.Drop(r)
+	if r := s.request; r != nil {
+		s.clearRequest()
+		s.server.Coordinator.Drop(r)
 	}
 }
--- a/internal/rest/reply.go
+++ b/internal/rest/reply.go
@@ -49,7 +49,7 @@
 type parser struct {
 	buf            []byte
 	head           *http1.Head // of the answer whose body is being received; else nil
-	body           *http1.Body
+	body           *http1.BodyDecoder
 	bodyBytes      []byte
 	interimAnswers int
 }
@@ -59,8 +59,8 @@
 func (p *parser) feed(b []byte) (*reply, error) {
 	p.buf = append(p.buf, b...)
 	for p.head == nil {
-		head, headBytes, err := http1.ParseResponse(p.buf, http1.Limits{Bytes: maxHeadBytes})
-		if errors.Is(err, http1.ErrShort) {
+		head, headBytes, err := http1.ParseResponse(p.buf, http1.Limits{MaxBytes: maxHeadBytes})
+		if errors.Is(err, http1.ErrIncomplete) {
 			return nil, nil
 		}
 		if err != nil {
@@ -73,12 +73,12 @@
 			}
 			continue
 		}
-		if p.body, err = head.Body(maxBodyBytes); err != nil {
+		if p.body, err = head.NewBodyDecoder(maxBodyBytes); err != nil {
 			return nil, err
 		}
 		p.head = head
 	}
-	body, used, err := p.body.TakeAll(p.bodyBytes, p.buf)
+	body, used, err := p.body.DecodeAll(p.bodyBytes, p.buf)
 	p.bodyBytes = body
 	if err != nil {
 		return nil, err
--- a/internal/result/result.go
+++ b/internal/result/result.go
@@ -1,5 +1,5 @@
-// Package result is the one form of a query's result inside the program, whatever engine gave it and whatever client
-// gets it: columns, and whole rows of text.
+// Package result holds query results in the form that the program uses for all kinds of engines and clients: columns, and
+// complete rows of text.
 package result
 
 import (
@@ -9,58 +9,59 @@
 	"unicode/utf8"
 )
 
-// Column is a column's name and its type in ClickHouse's words.
+// Column is the name of a column and its ClickHouse type.
 type Column struct{ Name, Type string }
 
-// Cell is a value as text.
+// Cell is a value as text, or NULL.
 type Cell struct {
 	Text []byte
 	Null bool
 }
 
-// Set is a whole result. Its rows are lines of text with a tab between two cells.
+// Set is a complete result. Its rows are lines of text, with a tab between two cells.
 type Set struct {
-	Columns []Column // nil: three columns of text, as worker groups give them
-	Pages   [][]byte // whole rows each
-	Escaped bool     // cells are escaped as TabSeparated has it, and \N is NULL; else they stand as they are
-	Verb    string   // the statement's first word, in capitals
+	Columns []Column // nil: the three text columns of worker groups
+	Pages   [][]byte // each holds complete rows
+	Escaped bool     // cells are escaped as in TabSeparated, with \N for NULL; otherwise they are unescaped
+	Verb    string   // first word of the statement, in upper case
 }
 
-var plain = []Column{{"column1", "String"}, {"column2", "String"}, {"column3", "String"}}
+// workerGroupColumns are the columns of results of worker groups, which name none.
+var workerGroupColumns = []Column{{"column1", "String"}, {"column2", "String"}, {"column3", "String"}}
 
-// Cols are the columns, also where the engine names none.
-func (s *Set) Cols() []Column {
+// ColumnsOrDefault returns the columns, or those of worker groups if the engine named none.
+func (s *Set) ColumnsOrDefault() []Column {
 	if s.Columns == nil && !s.Escaped {
-		return plain
+		return workerGroupColumns
 	}
 	return s.Columns
 }
 
-// Size is the length of all rows in bytes.
+// Size returns the length of all rows in bytes.
 func (s *Set) Size() (n int) {
-	for _, p := range s.Pages {
-		n += len(p)
+	for _, page := range s.Pages {
+		n += len(page)
 	}
 	return n
 }
 
-// Rows counts the rows.
-func (s *Set) Rows() (n int) {
-	for _, p := range s.Pages {
-		n += bytes.Count(p, []byte{'\n'})
+// RowCount returns the number of rows.
+func (s *Set) RowCount() (n int) {
+	for _, page := range s.Pages {
+		n += bytes.Count(page, []byte{'\n'})
 	}
 	return n
 }
 
-// Each calls f for each row. The cells are valid during the call only.
-func (s *Set) Each(f func(row []Cell) error) error {
-	row := make([]Cell, len(s.Cols()))
-	var room []byte // for the cells that are not as they stand
-	for _, p := range s.Pages {
-		for len(p) > 0 {
+// EachRow calls f for each row until f returns an error, and returns that error. The cells are valid during the call only.
+func (s *Set) EachRow(f func(row []Cell) error) error {
+	row := make([]Cell, len(s.ColumnsOrDefault()))
+	var buf []byte // for unescaped cells
+	for _, page := range s.Pages {
+		for len(page) > 0 {
 			var line []byte
-			line, p, _ = bytes.Cut(p, []byte{'\n'})
-			room = room[:0]
+			line, page, _ = bytes.Cut(page, []byte{'\n'})
+			buf = buf[:0]
 			for i := range row {
 				var cell []byte
 				cell, line, _ = bytes.Cut(line, []byte{'\t'})
@@ -72,12 +73,12 @@
 					row[i] = Cell{Null: true}
 					continue
 				}
-				from := len(room)
-				if cap(room)-from < len(cell) { // what was made before stays where it is
-					room, from = make([]byte, 0, max(len(cell), 512)), 0
+				start := len(buf)
+				if cap(buf)-start < len(cell) { // earlier cells of the row still refer to the old buffer
+					buf, start = make([]byte, 0, max(len(cell), 512)), 0
 				}
-				room = Unescape(room, cell)
-				row[i].Text = room[from:]
+				buf = Unescape(buf, cell)
+				row[i].Text = buf[start:]
 			}
 			if err := f(row); err != nil {
 				return err
@@ -87,7 +88,7 @@
 	return nil
 }
 
-// Unescape adds a TabSeparated cell as it is meant.
+// Unescape appends the value of an escaped TabSeparated cell to dst.
 func Unescape(dst, cell []byte) []byte {
 	for i := 0; i < len(cell); i++ {
 		c := cell[i]
@@ -115,7 +116,7 @@
 	return dst
 }
 
-// Escape adds a text as a TabSeparated cell.
+// Escape appends a text to dst as an escaped TabSeparated cell.
 func Escape(dst, text []byte) []byte {
 	for _, c := range text {
 		switch c {
@@ -140,43 +141,43 @@
 	return dst
 }
 
-// mostColumns bounds the columns of a result.
-const mostColumns = 1024
+// maxColumns is the largest number of columns of a result.
+const maxColumns = 1024
 
-// ErrTorn says that a result is not whole.
-var ErrTorn = errors.New("a result that is not whole")
+// ErrIncomplete is returned for a result that is truncated or malformed.
+var ErrIncomplete = errors.New("incomplete result")
 
-// Parse takes a whole TabSeparatedWithNamesAndTypes text. Danger: what was cut off must not pass for a short result, so
-// every line has to have its end and as many cells as the first one, and the types have to be there.
+// Parse parses a complete text in the format TabSeparatedWithNamesAndTypes. Danger: a truncated result must not be taken for a
+// shorter one. So every line must end with a line feed and have as many cells as the first one, and the types must be there.
 func Parse(text []byte) (*Set, error) {
 	s := &Set{Escaped: true, Columns: []Column{}}
-	if len(text) == 0 { // of what has no result
+	if len(text) == 0 { // of a statement without a result
 		return s, nil
 	}
 	names, rest, ok := bytes.Cut(text, []byte{'\n'})
 	if !ok {
-		return nil, fmt.Errorf("%w: its names have no end", ErrTorn)
+		return nil, fmt.Errorf("%w: the line of names does not end", ErrIncomplete)
 	}
 	types, rows, ok := bytes.Cut(rest, []byte{'\n'})
 	if !ok {
-		return nil, fmt.Errorf("%w: its types have no end", ErrTorn)
+		return nil, fmt.Errorf("%w: the line of types does not end", ErrIncomplete)
 	}
-	n, t := bytes.Split(names, []byte{'\t'}), bytes.Split(types, []byte{'\t'})
-	if len(n) != len(t) || len(n) > mostColumns {
-		return nil, fmt.Errorf("%w: %d names and %d types", ErrTorn, len(n), len(t))
+	columnNames, columnTypes := bytes.Split(names, []byte{'\t'}), bytes.Split(types, []byte{'\t'})
+	if len(columnNames) != len(columnTypes) || len(columnNames) > maxColumns {
+		return nil, fmt.Errorf("%w: %d names and %d types", ErrIncomplete, len(columnNames), len(columnTypes))
 	}
-	for i := range n {
-		if len(t[i]) == 0 || !utf8.Valid(n[i]) || !utf8.Valid(t[i]) {
-			return nil, fmt.Errorf("%w: column %d", ErrTorn, i+1)
+	for i := range columnNames {
+		if len(columnTypes[i]) == 0 || !utf8.Valid(columnNames[i]) || !utf8.Valid(columnTypes[i]) {
+			return nil, fmt.Errorf("%w: column %d has an invalid name or type", ErrIncomplete, i+1)
 		}
-		s.Columns = append(s.Columns, Column{string(Unescape(nil, n[i])), string(Unescape(nil, t[i]))})
+		s.Columns = append(s.Columns, Column{string(Unescape(nil, columnNames[i])), string(Unescape(nil, columnTypes[i]))})
 	}
-	for at := rows; len(at) > 0; {
-		line, next, ok := bytes.Cut(at, []byte{'\n'})
-		if !ok || bytes.Count(line, []byte{'\t'}) != len(n)-1 {
-			return nil, fmt.Errorf("%w: a row of %d bytes", ErrTorn, len(line))
+	for remaining := rows; len(remaining) > 0; {
+		line, next, ok := bytes.Cut(remaining, []byte{'\n'})
+		if !ok || bytes.Count(line, []byte{'\t'}) != len(columnNames)-1 {
+			return nil, fmt.Errorf("%w: row of %d bytes is truncated or has a wrong number of cells", ErrIncomplete, len(line))
 		}
-		at = next
+		remaining = next
 	}
 	if len(rows) > 0 {
 		s.Pages = [][]byte{rows}
--- a/internal/result/result_test.go
+++ b/internal/result/result_test.go
@@ -8,8 +8,9 @@
 	"pgregory.net/rapid"
 )
 
+// cells returns the text of all cells.
 func cells(t interface{ Fatal(...any) }, s *Set) (all []string) {
-	if err := s.Each(func(row []Cell) error {
+	if err := s.EachRow(func(row []Cell) error {
 		for _, c := range row {
 			if c.Null {
 				all = append(all, "NULL")
@@ -24,8 +25,8 @@
 	return all
 }
 
-// Whatever bytes a cell holds come back as they were, row by row.
-func TestCellsSurvive(t *testing.T) {
+// Any bytes in a cell must survive escaping and parsing, row by row.
+func TestCellsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		columns := rapid.IntRange(1, 5).Draw(t, "columns")
 		var text []byte
@@ -62,8 +63,8 @@
 	})
 }
 
-// A result that is cut anywhere but between two rows is told as torn.
-func TestTorn(t *testing.T) {
+// Guards against truncated results that pass for shorter ones: a result that is cut anywhere but between two rows is rejected.
+func TestIncompleteResultsRejected(t *testing.T) {
 	text := []byte("a\tb\nString\tUInt8\nx\t1\ny\t2\n")
 	ends := map[int]bool{0: true, bytes.Index(text, []byte("x")): true, bytes.Index(text, []byte("y")): true, len(text): true}
 	for n := range text {
@@ -73,14 +74,16 @@
 	}
 	for _, bad := range []string{"a\tb\nString\n", "a\n\n", "a\nString\nx\ty\n", "a\nString\n\n\tx\n"} {
 		if _, err := Parse([]byte(bad)); err == nil {
-			t.Errorf("%q is taken", bad)
+			t.Errorf("%q is accepted", bad)
 		}
 	}
 }
 
+// Rows of worker groups are not escaped: \N is text there, not NULL.
 func TestWorkerGroupRows(t *testing.T) {
 	s := &Set{Pages: [][]byte{[]byte("a\tb\\N\tc\n"), []byte("d\te\t\\N\n")}}
-	if got := fmt.Sprint(cells(t, s)); got != `["a" "b\\N" "c" "d" "e" "\\N"]` || s.Rows() != 2 || len(s.Cols()) != 3 {
-		t.Errorf("%s, %d rows", got, s.Rows())
+	if got := fmt.Sprint(cells(t, s)); got != `["a" "b\\N" "c" "d" "e" "\\N"]` || s.RowCount() != 2 ||
+		len(s.ColumnsOrDefault()) != 3 {
+		t.Errorf("%s, %d rows", got, s.RowCount())
 	}
 }
