--- a/cmd/thymeway/main.go
+++ b/cmd/thymeway/main.go
@@ -171,13 +171,13 @@
 		return err
 	}
 	loop.Accept = n.Accept
-	n.Clock = clock.NewMonitor()
+	n.WallClock = clock.NewMonitor()
 	loop.Turn = n.Turn
 	loop.FreeDescriptor = n.FreeDescriptor
 	loop.OnStart = func() {
-		slog.Info("ready", "name", c.Name, "listen", strings.Join(n.Listen(), ","), "classes", len(c.Scheduler.Classes),
+		slog.Info("ready", "name", c.Name, "listen", strings.Join(n.ListenAddrs(), ","), "classes", len(c.Scheduler.Classes),
 			"rss_kb", processMemoryKB(os.Getpid(), "VmRSS"))
-		n.Watch.Start()
+		n.Discovery.Start()
 	}
 	go func() {
 		for s := range signals {
@@ -185,7 +185,7 @@
 				if s == syscall.SIGHUP {
 					n.Reload(read)
 				} else {
-					n.Leave(loop.Stop)
+					n.ShutDown(loop.Stop)
 				}
 			})
 		}
@@ -197,7 +197,7 @@
 		}
 		defer metrics.StartServer(l, snapshotFunc(loop, n)).Close()
 	}
-	err = loop.Run(n.Listen()...)
+	err = loop.Run(n.ListenAddrs()...)
 	n.Close()
 	return err
 }
--- a/internal/node/keep_test.go
+++ b/internal/node/keep_test.go
@@ -15,41 +15,41 @@
 	"thymeway/internal/snapshot"
 )
 
-// Shapes outlast a restart where a file is set. A torn, foreign or newer one is told with its reason, and the program
-// starts empty and replaces it.
-func TestShapesAreKept(t *testing.T) {
+// Shapes survive a restart if a snapshot file is configured. If the file is truncated, foreign, invalid or of a newer version,
+// the reason is logged, and the program starts without shapes and replaces the file.
+func TestShapesSurviveRestart(t *testing.T) {
 	c := conftest.Example(t)
 	c.Local.Shapes.File, c.Local.Shapes.SaveInterval = filepath.Join(t.TempDir(), "shapes"), 1000
-	var out bytes.Buffer
-	before := slog.Default()
-	slog.SetDefault(logs.New(&out, slog.LevelInfo))
-	defer slog.SetDefault(before)
+	var logged bytes.Buffer
+	previousLogger := slog.Default()
+	slog.SetDefault(logs.New(&logged, slog.LevelInfo))
+	defer slog.SetDefault(previousLogger)
 	now := 0.0
-	start := func() (*Node, *deadline.Queue) {
-		out.Reset()
+	startNode := func() (*Node, *deadline.Queue) {
+		logged.Reset()
 		q := deadline.New()
-		n, err := New(c, &player{t: t}, q, func() float64 { return now }, func() {})
+		n, err := New(c, &scriptRunner{t: t}, q, func() float64 { return now }, func() {})
 		if err != nil {
 			t.Fatal(err)
 		}
 		return n, q
 	}
-	n, q := start()
-	if !strings.Contains(out.String(), "event=shapes-empty") || !strings.Contains(out.String(), "no such file") {
-		t.Errorf("at the first start: %s", out.String())
+	n, q := startNode()
+	if !strings.Contains(logged.String(), "event=shapes-empty") || !strings.Contains(logged.String(), "no such file") {
+		t.Errorf("at the first start: %s", logged.String())
 	}
 	for i := range 300 {
 		n.Shapes.Recognise("SELECT a FROM t"+strings.Repeat("x", i), shape.Postgres, 0)
 	}
-	for ; now < 1100; now += 10 { // the file is written while the program runs
+	for ; now < 1100; now += 10 { // the file is written during operation
 		q.RunDue(now)
 	}
-	n.keeper.Close()
-	n.keeper = nil
+	n.snapshots.Close()
+	n.snapshots = nil
 	for range 2 {
-		n, _ = start()
-		if s := n.Shapes.Stats(); s.Shapes != 300 || !strings.Contains(out.String(), "event=shapes-loaded") {
-			t.Errorf("%d shapes after a restart: %s", s.Shapes, out.String())
+		n, _ = startNode()
+		if s := n.Shapes.Stats(); s.Shapes != 300 || !strings.Contains(logged.String(), "event=shapes-loaded") {
+			t.Errorf("%d shapes after a restart: %s", s.Shapes, logged.String())
 		}
 		n.Close()
 	}
@@ -57,17 +57,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, x := range []struct {
-		b    []byte
-		want string
-	}{{whole[:len(whole)/2], "torn"}, {[]byte("something else"), "not a snapshot"}, {snapshot.Encode(shape.DumpKind, shape.DumpVersion+1, nil), "newer"},
+	for _, file := range []struct {
+		content []byte
+		want    string
+	}{{whole[:len(whole)/2], "torn"}, {[]byte("something else"), "not a snapshot"},
+		{snapshot.Encode(shape.DumpKind, shape.DumpVersion+1, nil), "newer"},
 		{snapshot.Encode(shape.DumpKind, shape.DumpVersion, []byte("junk")), "can't be read"}} {
-		if err := os.WriteFile(c.Local.Shapes.File, x.b, 0o600); err != nil {
+		if err := os.WriteFile(c.Local.Shapes.File, file.content, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		n, _ = start()
-		if s := n.Shapes.Stats(); s.Shapes != 0 || !strings.Contains(out.String(), x.want) {
-			t.Errorf("%s: %d shapes: %s", x.want, s.Shapes, out.String())
+		n, _ = startNode()
+		if s := n.Shapes.Stats(); s.Shapes != 0 || !strings.Contains(logged.String(), file.want) {
+			t.Errorf("%s: %d shapes: %s", file.want, s.Shapes, logged.String())
 		}
 		n.Close()
 	}
--- a/internal/node/mixed_test.go
+++ b/internal/node/mixed_test.go
@@ -17,161 +17,172 @@
 	"thymeway/internal/link"
 )
 
-// world plays a coordinator with clients of either protocol and worker groups that take their time, in virtual time.
-type world struct {
-	t     *testing.T
-	now   float64
-	queue *deadline.Queue
-	n     *Node
-	woken bool
-	rand  *rand.Rand
-	later []event
-	runs  map[string]*ran // by the id that worker groups get
-	order []*ran
-	broke []string // what the rules' checker found
-	until float64  // when the play ends; 0: once nothing is to happen any more
+// simulation runs a coordinator in virtual time, with clients of both protocols and worker groups that need time for each query.
+type simulation struct {
+	t             *testing.T
+	now           float64
+	deadlines     *deadline.Queue
+	node          *Node
+	wakeRequested bool
+	rand          *rand.Rand
+	events        []scheduledEvent
+	runsByID      map[string]*queryRun // by the id that is sent to worker groups
+	runOrder      []*queryRun
+	violations    []string // of the rules checked by the worker groups
+	endTime       float64  // time of the end of the simulation; 0: it ends when no events are left
 }
 
-type event struct {
-	at float64
-	do func()
+// scheduledEvent is a function to be called at a time.
+type scheduledEvent struct {
+	at  float64
+	run func()
 }
 
-// ran is a query on a worker group.
-type ran struct {
-	text, key   string
-	begun, over float64
+// queryRun is one run of a query on a worker group.
+type queryRun struct {
+	statement, orderKey string
+	startedAt, endedAt  float64 // endedAt 0: still running
 }
 
-func (w *world) at(ms float64, f func()) { w.later = append(w.later, event{w.now + ms, f}) }
+// schedule calls run after a delay in ms.
+func (s *simulation) schedule(delay float64, run func()) {
+	s.events = append(s.events, scheduledEvent{s.now + delay, run})
+}
 
-// run lets all happen that is to happen, in the order of its time.
-func (w *world) run() {
+// run processes all events and deadlines in the order of their times, with an event-loop turn after each.
+func (s *simulation) run() {
 	for i := 0; ; i++ {
 		if i > 200000 {
-			w.t.Fatal("it does not end")
+			s.t.Fatal("the simulation does not end within 200000 steps")
 		}
-		w.woken = false
-		w.queue.RunDue(w.now)
-		w.n.Coordinator.Turn()
-		if w.woken {
-			w.now += 0.001 // a turn takes its time: what is to be done at once may not come at the same time for ever
+		s.wakeRequested = false
+		s.deadlines.RunDue(s.now)
+		s.node.Coordinator.Turn()
+		if s.wakeRequested {
+			s.now += 0.001 // a turn takes time; otherwise turns that request another one could stop the time for ever
 			continue
 		}
-		next, which := 0.0, -1
-		for k, e := range w.later {
-			if which < 0 || e.at < next {
-				next, which = e.at, k
+		nextTime, nextIndex := 0.0, -1
+		for k, e := range s.events {
+			if nextIndex < 0 || e.at < nextTime {
+				nextTime, nextIndex = e.at, k
 			}
 		}
-		if which < 0 || w.until > 0 && next > w.until {
+		if nextIndex < 0 || s.endTime > 0 && nextTime > s.endTime {
 			return
 		}
-		if at, ok := w.queue.Next(); ok && at < next {
-			w.now = max(w.now, at)
+		if at, ok := s.deadlines.Next(); ok && at < nextTime {
+			s.now = max(s.now, at)
 			continue
 		}
-		e := w.later[which]
-		w.later = slices.Delete(w.later, which, which+1)
-		w.now = max(w.now, e.at)
-		e.do()
+		e := s.events[nextIndex]
+		s.events = slices.Delete(s.events, nextIndex, nextIndex+1)
+		s.now = max(s.now, e.at)
+		e.run()
 	}
 }
 
-// Dial connects to a worker group.
-func (w *world) Dial(addr string, h link.Handler) {
+// Dial connects to the worker group at 127.0.0.1:4101; other addresses refuse connections.
+func (s *simulation) Dial(addr string, h link.Handler) {
 	if addr != "127.0.0.1:4101" {
-		w.at(1, func() { h.Closed(link.ConnRefused) })
+		s.schedule(1, func() { h.Closed(link.ConnRefused) })
 		return
 	}
-	g := &groupSide{w: w, h: h}
-	w.at(1, func() { h.Opened(g) })
+	conn := &workerGroupConn{sim: s, handler: h}
+	s.schedule(1, func() { h.Opened(conn) })
 }
 
-// groupSide is a worker group's end of a connection: one call at a time.
-type groupSide struct {
-	w      *world
-	h      link.Handler
-	closed bool
+// workerGroupConn is a connection to the simulated worker group, with one call at a time.
+type workerGroupConn struct {
+	sim     *simulation
+	handler link.Handler
+	closed  bool
 }
 
-func (g *groupSide) Close()       { g.closed = true }
-func (g *groupSide) Pending() int { return 0 }
-func (g *groupSide) Idle() bool   { return !g.closed }
-func (g *groupSide) CloseWrite()  {}
-func (g *groupSide) Abort()       { g.Close() }
+func (g *workerGroupConn) Close()       { g.closed = true }
+func (g *workerGroupConn) Pending() int { return 0 }
+func (g *workerGroupConn) Idle() bool   { return !g.closed }
+func (g *workerGroupConn) CloseWrite()  {}
+func (g *workerGroupConn) Abort()       { g.Close() }
 
-func (g *groupSide) reply(ms float64, text string, then func()) {
-	g.w.at(ms, func() {
-		if then != nil {
-			then()
+// reply sends text after a delay in ms and calls onArrival when it arrives.
+func (g *workerGroupConn) reply(delay float64, text string, onArrival func()) {
+	g.sim.schedule(delay, func() {
+		if onArrival != nil {
+			onArrival()
 		}
 		if !g.closed {
-			g.h.Received([]byte(text))
+			g.handler.Received([]byte(text))
 		}
 	})
 }
 
-var hop = regexp.MustCompile(`X-Hop-Id: (\S+)`)
+// hopIDPattern matches the header with the id of a query's request.
+var hopIDPattern = regexp.MustCompile(`X-Hop-Id: (\S+)`)
 
-// Write takes a call. A load runs for long enough to be asked about; a few queries fail, by their text alone, so that
-// they do so whatever protocol brought them.
-func (g *groupSide) Write(b []byte) {
-	w := g.w
+// Write handles a call. Statements with an order key run for 250 ms, long enough to be polled. The first run of a statement
+// that contains "fails" fails; this depends on its text only, so that it happens over any protocol. No request may have two
+// attempts at once, and no two statements of an order key may run at once.
+func (g *workerGroupConn) Write(b []byte) {
+	sim := g.sim
 	head, body, _ := bytes.Cut(b, []byte("\r\n\r\n"))
 	line, _, _ := strings.Cut(string(head), "\r\n")
 	switch {
 	case strings.HasPrefix(line, "POST /obj"):
-		id := hop.FindStringSubmatch(string(head))[1]
-		text := string(body)
-		if o := w.runs[id]; o != nil && o.over == 0 {
-			w.broke = append(w.broke, fmt.Sprintf("two attempts of %s are out", text))
+		id := hopIDPattern.FindStringSubmatch(string(head))[1]
+		statement := string(body)
+		if other := sim.runsByID[id]; other != nil && other.endedAt == 0 {
+			sim.violations = append(sim.violations, fmt.Sprintf("two attempts of %s run at once", statement))
 		}
-		r := &ran{text: text, begun: w.now}
-		if i := strings.Index(text, "key_"); i >= 0 {
-			r.key, _, _ = strings.Cut(text[i:], " ")
-			for _, o := range w.order {
-				if o.key == r.key && o.over == 0 {
-					w.broke = append(w.broke, fmt.Sprintf("%q begins while %q runs", text, o.text))
+		run := &queryRun{statement: statement, startedAt: sim.now}
+		if i := strings.Index(statement, "key_"); i >= 0 {
+			run.orderKey, _, _ = strings.Cut(statement[i:], " ")
+			for _, other := range sim.runOrder {
+				if other.orderKey == run.orderKey && other.endedAt == 0 {
+					sim.violations = append(sim.violations, fmt.Sprintf("%q begins while %q runs", statement, other.statement))
 				}
 			}
 		}
-		w.runs[id], w.order = r, append(w.order, r)
-		took := 5.0
-		if r.key != "" {
-			took = 250
+		sim.runsByID[id], sim.runOrder = run, append(sim.runOrder, run)
+		duration := 5.0
+		if run.orderKey != "" {
+			duration = 250
 		}
-		if strings.Contains(text, "fails") && !slices.ContainsFunc(w.order[:len(w.order)-1], func(o *ran) bool { return o.text == text }) {
-			g.reply(took, "HTTP/1.1 500 -\r\nContent-Length: 0\r\n\r\n", func() { r.over = w.now })
+		if strings.Contains(statement, "fails") && !slices.ContainsFunc(sim.runOrder[:len(sim.runOrder)-1],
+			func(other *queryRun) bool { return other.statement == statement }) {
+			g.reply(duration, "HTTP/1.1 500 -\r\nContent-Length: 0\r\n\r\n", func() { run.endedAt = sim.now })
 			return
 		}
-		rows := fmt.Sprintf("%d\tof\t%s\n", len(text), strings.ReplaceAll(text, " ", "_"))
-		g.reply(took, fmt.Sprintf("HTTP/1.1 200 OK\r\nPage-Count: 1\r\nWork-Ms: %v\r\nPeak-Mb: 8\r\nContent-Length: %d\r\n\r\n%s", took, len(rows), rows), func() { r.over = w.now })
+		rows := fmt.Sprintf("%d\tof\t%s\n", len(statement), strings.ReplaceAll(statement, " ", "_"))
+		g.reply(duration, fmt.Sprintf(
+			"HTTP/1.1 200 OK\r\nPage-Count: 1\r\nWork-Ms: %v\r\nPeak-Mb: 8\r\nContent-Length: %d\r\n\r\n%s",
+			duration, len(rows), rows), func() { run.endedAt = sim.now })
 	default:
 		g.reply(1, "HTTP/1.1 204 -\r\n\r\n", nil)
 	}
 }
 
-// caller is a client's end, of either protocol.
-type caller struct {
-	w      *world
-	h      link.Handler
-	b      bytes.Buffer
-	answer func(rows string, ok bool)
-	web    bool
+// simulatedClient is a client's connection over either protocol.
+type simulatedClient struct {
+	sim      *simulation
+	handler  link.Handler
+	received bytes.Buffer
+	onAnswer func(rows string, ok bool) // called with the next answer, once
+	http     bool                       // uses the ClickHouse HTTP interface instead of PostgreSQL
 }
 
-func (c *caller) Close()       {}
-func (c *caller) Pending() int { return 0 }
-func (c *caller) Idle() bool   { return true }
-func (c *caller) CloseWrite()  {}
-func (c *caller) Abort()       { c.Close() }
+func (c *simulatedClient) Close()       {}
+func (c *simulatedClient) Pending() int { return 0 }
+func (c *simulatedClient) Idle() bool   { return true }
+func (c *simulatedClient) CloseWrite()  {}
+func (c *simulatedClient) Abort()       { c.Close() }
 
-func (c *caller) Write(b []byte) {
-	c.b.Write(b)
-	all := c.b.Bytes()
-	if c.web {
-		head, body, ok := bytes.Cut(all, []byte("\r\n\r\n"))
+// Write collects the coordinator's output and delivers each complete answer.
+func (c *simulatedClient) Write(b []byte) {
+	c.received.Write(b)
+	data := c.received.Bytes()
+	if c.http {
+		head, body, ok := bytes.Cut(data, []byte("\r\n\r\n"))
 		if !ok {
 			return
 		}
@@ -181,163 +192,174 @@
 			return
 		}
 		rows := string(body[:n])
-		c.b.Reset()
-		c.tell(rows, bytes.HasPrefix(head, []byte("HTTP/1.1 200")))
+		c.received.Reset()
+		c.deliver(rows, bytes.HasPrefix(head, []byte("HTTP/1.1 200")))
 		return
 	}
 	rows, ok, n := "", true, 0
-	for len(all)-n >= 5 {
-		size := 1 + int(binary.BigEndian.Uint32(all[n+1:]))
-		if len(all)-n < size {
+	for len(data)-n >= 5 {
+		size := 1 + int(binary.BigEndian.Uint32(data[n+1:]))
+		if len(data)-n < size {
 			return
 		}
-		kind, body := all[n], all[n+5:n+size]
+		kind, body := data[n], data[n+5:n+size]
 		n += size
 		switch kind {
 		case 'D':
 			var cells []string
 			for at := body[2:]; len(at) > 0; {
-				k := 4 + int(binary.BigEndian.Uint32(at))
-				cells = append(cells, string(at[4:k]))
-				at = at[k:]
+				end := 4 + int(binary.BigEndian.Uint32(at))
+				cells = append(cells, string(at[4:end]))
+				at = at[end:]
 			}
 			rows += strings.Join(cells, "\t") + "\n"
 		case 'E':
 			ok = false
 		case 'Z':
-			c.b.Reset()
-			c.tell(rows, ok)
+			c.received.Reset()
+			c.deliver(rows, ok)
 			return
 		}
 	}
 }
 
-func (c *caller) tell(rows string, ok bool) {
-	if f := c.answer; f != nil {
-		c.answer = nil
-		f(rows, ok)
+// deliver passes an answer to onAnswer.
+func (c *simulatedClient) deliver(rows string, ok bool) {
+	if onAnswer := c.onAnswer; onAnswer != nil {
+		c.onAnswer = nil
+		onAnswer(rows, ok)
 	}
 }
 
-// ask is one request of the run, as both protocols can say it.
-type ask struct {
-	text, class, key string
-	at               float64
+// simulatedRequest is a request that can be sent over both protocols.
+type simulatedRequest struct {
+	statement, class, orderKey string
+	at                         float64
 }
 
-// play sends the same requests at the same times, each over the protocol that web chooses, and gives the answers, the
-// order of runs by key and the accounts over all protocols.
-func play(t *testing.T, seed int64, web func(i int) bool) (answers []string, order map[string][]string, sum map[string]account.Counts) {
+// runRequests sends 120 requests that depend on the seed only, each over the protocol that useHTTP selects. It returns the
+// answers, the order of runs by order key, and the counts by tenant and class, summed over the protocols.
+func runRequests(t *testing.T, seed int64, useHTTP func(i int) bool) (answers []string, runOrder map[string][]string,
+	counts map[string]account.Counts) {
 	c := conftest.Example(t)
 	c.Local.ClickHouse.Listen = "127.0.0.1:8123"
-	w := &world{t: t, now: start, queue: deadline.New(), rand: rand.New(rand.NewSource(seed)), runs: map[string]*ran{}}
+	sim := &simulation{t: t, now: startTime, deadlines: deadline.New(), rand: rand.New(rand.NewSource(seed)),
+		runsByID: map[string]*queryRun{}}
 	var err error
-	w.n, err = New(c, w, w.queue, func() float64 { return w.now }, func() { w.woken = true })
+	sim.node, err = New(c, sim, sim.deadlines, func() float64 { return sim.now }, func() { sim.wakeRequested = true })
 	if err != nil {
 		t.Fatal(err)
 	}
-	var asks []ask
+	var requests []simulatedRequest
 	at := 0.0
 	for i := range 120 {
-		at += float64(30 + w.rand.Intn(60))
-		a := ask{at: at, class: "lookup", text: fmt.Sprintf("SELECT a FROM sales_%d.t WHERE id = %d", w.rand.Intn(3), i)}
-		switch w.rand.Intn(6) {
+		at += float64(30 + sim.rand.Intn(60))
+		request := simulatedRequest{at: at, class: "lookup",
+			statement: fmt.Sprintf("SELECT a FROM sales_%d.t WHERE id = %d", sim.rand.Intn(3), i)}
+		switch sim.rand.Intn(6) {
 		case 0:
-			a.class, a.text = "report", fmt.Sprintf("SELECT sum(a) FROM sales_%d.t WHERE id = %d", w.rand.Intn(3), i)
+			request.class, request.statement = "report",
+				fmt.Sprintf("SELECT sum(a) FROM sales_%d.t WHERE id = %d", sim.rand.Intn(3), i)
 		case 1, 2:
-			a.class, a.key = "load", fmt.Sprintf("key_%d", w.rand.Intn(2))
-			a.text = fmt.Sprintf("INSERT INTO sales_1%s.t SELECT %d AS %s FROM staging.u", a.key[4:], i, a.key)
+			request.class, request.orderKey = "load", fmt.Sprintf("key_%d", sim.rand.Intn(2))
+			request.statement = fmt.Sprintf("INSERT INTO sales_1%s.t SELECT %d AS %s FROM staging.u",
+				request.orderKey[4:], i, request.orderKey)
 		case 3:
 			if i%2 == 0 {
-				a.text += " AND fails = 1"
+				request.statement += " AND fails = 1"
 			}
 		}
-		asks = append(asks, a)
+		requests = append(requests, request)
 	}
-	answers = make([]string, len(asks))
-	for i, a := range asks {
-		w.at(a.at, func() {
-			c := &caller{w: w, web: web(i)}
-			c.h = w.n.Accept(map[bool]int{false: 0, true: 1}[c.web])
-			c.h.Opened(c)
+	answers = make([]string, len(requests))
+	for i, request := range requests {
+		sim.schedule(request.at, func() {
+			c := &simulatedClient{sim: sim, http: useHTTP(i)}
+			c.handler = sim.node.Accept(map[bool]int{false: 0, true: 1}[c.http])
+			c.handler.Opened(c)
 			done := func(rows string, ok bool) { answers[i] = fmt.Sprintf("%v %s", ok, rows) }
-			if c.web {
-				c.answer = done
-				c.h.Received([]byte(fmt.Sprintf("POST /?user=acme&max_execution_time=20&order_key=%s&insert_deduplication_token=u%d HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s",
-					a.key, i, len(a.text), a.text)))
+			if c.http {
+				c.onAnswer = done
+				c.handler.Received([]byte(fmt.Sprintf(
+					"POST /?user=acme&max_execution_time=20&order_key=%s&insert_deduplication_token=u%d HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s",
+					request.orderKey, i, len(request.statement), request.statement)))
 				return
 			}
-			c.answer = func(string, bool) { // the session has started
-				c.answer = done
-				fields := fmt.Sprintf("/* verb=%s,txn=%016x,limit=20000,team=acme", a.class, i+1)
-				if a.key != "" {
-					fields += fmt.Sprintf(",unique=u%d,item=%s", i, a.key)
+			c.onAnswer = func(string, bool) { // called when the session has started
+				c.onAnswer = done
+				fields := fmt.Sprintf("/* verb=%s,txn=%016x,limit=20000,team=acme", request.class, i+1)
+				if request.orderKey != "" {
+					fields += fmt.Sprintf(",unique=u%d,item=%s", i, request.orderKey)
 				}
-				c.h.Received(packet("Q", fields+" */ "+a.text+"\x00"))
+				c.handler.Received(pgMessage("Q", fields+" */ "+request.statement+"\x00"))
 			}
-			c.h.Received(append(binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint32(nil, 17), 3<<16), "user\x00app\x00\x00"[:9]...))
+			c.handler.Received(append(binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint32(nil, 17), 3<<16),
+				"user\x00app\x00\x00"[:9]...))
 		})
 	}
-	w.run()
-	for _, b := range w.broke {
-		t.Error(b)
+	sim.run()
+	for _, violation := range sim.violations {
+		t.Error(violation)
 	}
-	order = map[string][]string{}
-	waited, last := 0, map[string]float64{}
-	for _, r := range w.order {
-		if r.key != "" {
-			order[r.key] = append(order[r.key], r.text)
-			if r.begun-last[r.key] < 5 {
-				waited++
+	runOrder = map[string][]string{}
+	waits, lastEnd := 0, map[string]float64{}
+	for _, r := range sim.runOrder {
+		if r.orderKey != "" {
+			runOrder[r.orderKey] = append(runOrder[r.orderKey], r.statement)
+			if r.startedAt-lastEnd[r.orderKey] < 5 {
+				waits++
 			}
-			last[r.key] = r.over
+			lastEnd[r.orderKey] = r.endedAt
 		}
 	}
-	if waited < 3 {
-		t.Errorf("only %d loads had to wait for their key", waited)
+	if waits < 3 {
+		t.Errorf("only %d loads had to wait for their order key", waits)
 	}
-	sum = map[string]account.Counts{}
-	for _, r := range w.n.Coordinator.Accounts.Rows() {
-		s := sum[r.Tenant+" "+r.Class]
-		s.Add(&r.Counts)
-		sum[r.Tenant+" "+r.Class] = s
+	counts = map[string]account.Counts{}
+	for _, r := range sim.node.Coordinator.Accounts.Rows() {
+		total := counts[r.Tenant+" "+r.Class]
+		total.Add(&r.Counts)
+		counts[r.Tenant+" "+r.Class] = total
 	}
-	if w.n.Coordinator.Unanswered() != 0 || w.n.out() != 0 {
-		t.Errorf("%d answers owed, %d attempts out at the end", w.n.Coordinator.Unanswered(), w.n.out())
+	if sim.node.Coordinator.Unanswered() != 0 || sim.node.inFlight() != 0 {
+		t.Errorf("%d requests without an answer, %d attempts in flight at the end",
+			sim.node.Coordinator.Unanswered(), sim.node.inFlight())
 	}
-	return answers, order, sum
+	return answers, runOrder, counts
 }
 
-// The same requests give the same answers, the same order for each key and the same accounts, whether they come over
-// PostgreSQL, over HTTP or mixed; and a checker sees no request twice at once and no two loads of a key at once.
-func TestProtocolsAreAlike(t *testing.T) {
+// The same requests give the same answers, run order of each order key and counts, whether they are sent over PostgreSQL, over
+// HTTP or over both. The worker groups check that no request has two attempts at once and no two loads of an order key run at
+// once.
+func TestProtocolsGiveEqualResults(t *testing.T) {
 	for seed := int64(1); seed <= 5; seed++ {
-		ways := map[string]func(int) bool{"postgres": func(int) bool { return false }, "clickhouse": func(int) bool { return true },
-			"mixed": func(i int) bool { return i*7%3 == 0 }}
-		answers, order, sum := play(t, seed, ways["postgres"])
+		protocols := map[string]func(int) bool{"postgres": func(int) bool { return false },
+			"clickhouse": func(int) bool { return true }, "mixed": func(i int) bool { return i*7%3 == 0 }}
+		answers, order, counts := runRequests(t, seed, protocols["postgres"])
 		for i, a := range answers {
 			if !strings.HasPrefix(a, "true ") {
 				t.Errorf("seed %d: request %d: %q", seed, i, a)
 			}
 		}
 		if len(order) != 2 {
-			t.Errorf("seed %d: %d keys", seed, len(order))
+			t.Errorf("seed %d: %d order keys", seed, len(order))
 		}
 		for _, name := range []string{"clickhouse", "mixed"} {
-			a, o, s := play(t, seed, ways[name])
-			for i := range a {
-				if a[i] != answers[i] {
-					t.Errorf("seed %d, %s: request %d: %q, over PostgreSQL %q", seed, name, i, a[i], answers[i])
+			otherAnswers, otherOrder, otherCounts := runRequests(t, seed, protocols[name])
+			for i := range otherAnswers {
+				if otherAnswers[i] != answers[i] {
+					t.Errorf("seed %d, %s: request %d: %q, over PostgreSQL %q", seed, name, i, otherAnswers[i], answers[i])
 				}
 			}
-			if fmt.Sprint(o) != fmt.Sprint(order) {
-				t.Errorf("seed %d, %s: order %v, over PostgreSQL %v", seed, name, o, order)
+			if fmt.Sprint(otherOrder) != fmt.Sprint(order) {
+				t.Errorf("seed %d, %s: order %v, over PostgreSQL %v", seed, name, otherOrder, order)
 			}
-			for k, want := range sum {
-				got := s[k]
-				if got.Accepted != want.Accepted || got.Served != want.Served || got.Refused != want.Refused || got.Failed != want.Failed ||
-					got.Attempts != want.Attempts || got.ValueRequested != want.ValueRequested || got.ValueServed != want.ValueServed || got.Open() != 0 {
-					t.Errorf("seed %d, %s: %s: %+v, over PostgreSQL %+v", seed, name, k, got, want)
+			for tenantAndClass, want := range counts {
+				got := otherCounts[tenantAndClass]
+				if got.Accepted != want.Accepted || got.Served != want.Served || got.Refused != want.Refused ||
+					got.Failed != want.Failed || got.Attempts != want.Attempts || got.ValueRequested != want.ValueRequested ||
+					got.ValueServed != want.ValueServed || got.Open() != 0 {
+					t.Errorf("seed %d, %s: %s: %+v, over PostgreSQL %+v", seed, name, tenantAndClass, got, want)
 				}
 			}
 		}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,5 @@
-// Package node puts a coordinator together from its parts. It needs a dialer and a clock, but no socket, so the
-// whole program can be played from a text file.
+// Package node assembles a complete coordinator from its parts. It depends on a dialer and a time source but on no socket, so
+// that the whole program can be tested with scripted connections.
 package node
 
 import (
@@ -26,261 +26,274 @@
 	"thymeway/internal/tally"
 )
 
+// Limits, times (in milliseconds) and shares of resources.
 const (
-	answerMargin = 25.0     // ms by which an answer is due before the client's limit: the way there and back
-	idleShare    = 0.7      // of the time after which worker groups close idle connections
-	engineShare  = 0.4      // of the descriptors, for connections to worker groups; most of the others are the clients'
-	reserve      = 28       // descriptors for the program itself, the board and connections that come and go
-	inputShare   = 0.1      // of the memory, for bytes from clients that wait
-	bodyShare    = 0.05     // of the memory, for bodies of ClickHouse clients; an open one stands there three times
-	resultShare  = 0.15     // of the memory, for results of ClickHouse engines that are coming
-	leastInput   = 16 << 10 // bytes of a message that are read at least
-	mostInput    = 256 << 10
-	stayAfter    = 800.0    // ms that new requests may still come after SIGTERM
-	stayCheck    = 20.0     // ms between looks whether all is answered
-	killAfter    = 700.0    // ms after the longest deadline, or killMost, at which SIGKILL may come
-	killMost     = 3000.0   // ms
-	answerBefore = 350.0    // ms before that time by which all is answered
-	shapesATurn  = 128      // shapes that are written down in one turn
-	chIdle       = 2500.0   // ms for which a connection to a ClickHouse engine is kept: these close them after 3 s or more
-	mostSnapshot = 64 << 20 // bytes of the file
-	cancelWithin = 200.0    // ms from then for worker groups to hear what is given up
-	reloadTries  = 20       // readings of a configuration that can't be opened for a moment
-	reloadPause  = 100.0    // ms between them
+	answerMargin          = 25.0     // an answer is due this long before the client's timeout, to allow for the round trip
+	connIdleShare         = 0.7      // of the time after which worker groups close idle connections
+	engineDescriptorShare = 0.4      // of the descriptors, for connections to worker groups; most others are for clients
+	reservedDescriptors   = 28       // for the program itself, the discovery service and short-lived connections
+	inputMemoryShare      = 0.1      // of the memory, for input from clients that is not processed yet
+	bodyMemoryShare       = 0.05     // of the memory, for bodies of ClickHouse clients; an open one is in memory three times
+	resultMemoryShare     = 0.15     // of the memory, for results being received from ClickHouse engines
+	minInputBytes         = 16 << 10 // lower bound of the size limit of a client's message
+	maxInputBytes         = 256 << 10
+	shutdownGrace         = 800.0    // after SIGTERM, during which new requests are still accepted
+	shutdownCheckInterval = 20.0     // between checks whether all requests are answered
+	killDelay             = 700.0    // SIGKILL may follow this long after the longest client timeout, or after maxKillTimeout
+	maxKillTimeout        = 3000.0   // used instead if the longest client timeout exceeds it
+	killMargin            = 350.0    // all requests are answered this long before SIGKILL may come
+	shapesPerTurn         = 128      // shapes written to the snapshot in one event-loop turn
+	clickHouseConnIdle    = 2500.0   // maximum idle time; ClickHouse engines close idle connections after 3 s or more
+	maxSnapshotBytes      = 64 << 20 // of the snapshot file
+	cancelGrace           = 200.0    // after the last answers, for worker groups to be told which attempts are cancelled
+	maxReloadTries        = 20       // attempts to read a configuration while reading fails for a temporary reason
+	reloadRetryDelay      = 100.0    // between these attempts
 )
 
-// Node is a whole coordinator.
+// Node is a complete coordinator with its clients, engines and discovery service.
 type Node struct {
-	Coordinator *coordinator.Coordinator
-	Sessions    *pg.Server
-	Front       *chhttp.Front // nil: no ClickHouse clients are served
-	Watch       *board.Watcher
-	Shapes      *shape.Catalog
-	Clock       *clock.Monitor // nil: the wall clock is not watched
-	seats       *seats.Limiter
-	keeper      *snapshot.AsyncWriter // nil: shapes are not kept
-	fleet       *rest.Fleet
-	ch          *chengine.Fleet // nil: no engine speaks ClickHouse's interface
-	queue       *deadline.Queue
-	now         func() float64
-	config      config.Config
-	leaving     bool
+	Coordinator       *coordinator.Coordinator
+	Postgres          *pg.Server
+	ClickHouse        *chhttp.Front // nil: ClickHouse clients are not served
+	Discovery         *board.Watcher
+	Shapes            *shape.Catalog
+	WallClock         *clock.Monitor // nil: the wall clock is not monitored
+	clientSlots       *seats.Limiter
+	snapshots         *snapshot.AsyncWriter // nil: shapes are not stored
+	workerGroups      *rest.Fleet
+	clickHouseEngines *chengine.Fleet // nil: no kind of engine uses ClickHouse's interface
+	deadlines         *deadline.Queue
+	now               func() float64
+	config            config.Config
+	shuttingDown      bool
 }
 
-// New puts a coordinator together. wake must cause a turn soon: a sweep of the queue and a call of Turn.
-func New(c config.Config, d link.Dialer, queue *deadline.Queue, now func() float64, wake func()) (*Node, error) {
+// New assembles a coordinator. wake has to cause an event-loop turn soon, which runs the due deadlines and calls Turn. If New
+// returns an error, the events that the configuration holds under "known" are invalid.
+func New(cfg config.Config, dialer link.Dialer, deadlines *deadline.Queue, now func() float64, wake func()) (*Node, error) {
 	faults := &tally.FaultLog{Now: now}
-	fleet := &rest.Fleet{Dialer: d, Deadlines: queue, Now: now, Faults: faults, ConnectTimeout: c.ConnectTimeout,
-		ConnIdleTimeout: c.ConnIdleTimeout * idleShare, MaxConns: int(float64(c.Sockets) * engineShare)}
-	book := shape.NewCatalog(shape.Options{MaxBytes: c.ShapeBytes(), HashSeed: c.Seed})
-	keeper := remember(book, c.Local.Shapes)
-	engines, ch := coordinator.Backend(fleet), (*chengine.Fleet)(nil)
-	speaks := func(k config.Kind) bool { return k.Protocol == "clickhouse" }
-	if slices.ContainsFunc(slices.Collect(maps.Values(c.Local.Kinds)), speaks) {
-		fleet.MaxConns /= 2
-		ch = &chengine.Fleet{Dialer: d, Deadlines: queue, Now: now, Faults: faults, ConnIdle: min(c.ConnIdleTimeout*idleShare, chIdle),
-			MostWires: fleet.MaxConns, MostResult: c.Local.ClickHouse.MaxResultBytes,
-			Login:    func(kind string) (string, string) { return c.Local.Kinds[kind].User, c.Local.Kinds[kind].Password },
-			MostHeld: int(c.MemoryMB * (1 << 20) * resultShare)}
-		engines = &coordinator.Mux{Backends: []coordinator.Backend{fleet, ch}, BackendIndex: func(m coordinator.ListedEngine) int {
-			if speaks(c.Local.Kinds[m.Kind]) {
-				return 1
-			}
-			return 0
-		}}
+	workerGroups := &rest.Fleet{Dialer: dialer, Deadlines: deadlines, Now: now, Faults: faults,
+		ConnectTimeout: cfg.ConnectTimeout, ConnIdleTimeout: cfg.ConnIdleTimeout * connIdleShare,
+		MaxConns: int(float64(cfg.Sockets) * engineDescriptorShare)}
+	shapes := shape.NewCatalog(shape.Options{MaxBytes: cfg.ShapeBytes(), HashSeed: cfg.Seed})
+	snapshots := loadShapes(shapes, cfg.Local.Shapes)
+	backend, clickHouse := coordinator.Backend(workerGroups), (*chengine.Fleet)(nil)
+	isClickHouse := func(kind config.Kind) bool { return kind.Protocol == "clickhouse" }
+	if slices.ContainsFunc(slices.Collect(maps.Values(cfg.Local.Kinds)), isClickHouse) {
+		workerGroups.MaxConns /= 2
+		clickHouse = &chengine.Fleet{Dialer: dialer, Deadlines: deadlines, Now: now, Faults: faults,
+			ConnIdle:  min(cfg.ConnIdleTimeout*connIdleShare, clickHouseConnIdle),
+			MostWires: workerGroups.MaxConns, MostResult: cfg.Local.ClickHouse.MaxResultBytes,
+			Login:    func(kind string) (string, string) { return cfg.Local.Kinds[kind].User, cfg.Local.Kinds[kind].Password },
+			MostHeld: int(cfg.MemoryMB * (1 << 20) * resultMemoryShare)}
+		backend = &coordinator.Mux{Backends: []coordinator.Backend{workerGroups, clickHouse},
+			BackendIndex: func(listed coordinator.ListedEngine) int {
+				if isClickHouse(cfg.Local.Kinds[listed.Kind]) {
+					return 1
+				}
+				return 0
+			}}
 	}
-	wires := fleet.MaxConns
-	coord := coordinator.New(c.Scheduler, now, queue, engines, wake,
-		coordinator.StatementOptions{Shapes: book, Role: c.ClassRules().Role, FillEstimates: c.Local.Shapes.FillEstimates, Faults: faults})
-	fleet.Watcher = coord
-	if ch != nil {
-		ch.Watcher, wires = coord, 2*wires
+	engineConns := workerGroups.MaxConns
+	coord := coordinator.New(cfg.Scheduler, now, deadlines, backend, wake,
+		coordinator.StatementOptions{Shapes: shapes, Role: cfg.ClassRules().Role, FillEstimates: cfg.Local.Shapes.FillEstimates,
+			Faults: faults})
+	workerGroups.Watcher = coord
+	if clickHouse != nil {
+		clickHouse.Watcher, engineConns = coord, 2*engineConns
 	}
-	clients := max(c.Sockets-wires-reserve, 1)
-	places := &seats.Limiter{MaxConnections: clients, Faults: faults}
-	n := &Node{Coordinator: coord, Shapes: book, seats: places, ch: ch, fleet: fleet, queue: queue, now: now, config: c,
-		Sessions: &pg.Server{Coordinator: coord, Deadlines: queue, Faults: faults, Now: now, AnswerMargin: answerMargin, ConnLimiter: places,
-			MaxInputBytes: min(max(int(c.MemoryMB*(1<<20)*inputShare)/clients, leastInput), mostInput),
-			Random:        rand.New(rand.NewSource(int64(c.Seed) + 1))},
-		Watch: &board.Watcher{Dialer: d, Deadlines: queue, Now: now, Listener: coord, Addr: c.DiscoveryAddr, ConnectTimeout: 2 * c.ConnectTimeout,
-			WarmUpTime: c.Scheduler.WarmUpTime}}
-	if c.Local.ClickHouse.Listen != "" {
-		n.Front = &chhttp.Front{Coordinator: coord, Deadlines: queue, Faults: faults, Now: now, Margin: answerMargin, Seats: places,
-			Random: rand.New(rand.NewSource(int64(c.Seed) + 2)), Config: c, MostHeld: int(c.MemoryMB * (1 << 20) * bodyShare)}
-		n.Front.Start()
+	maxClients := max(cfg.Sockets-engineConns-reservedDescriptors, 1)
+	clientSlots := &seats.Limiter{MaxConnections: maxClients, Faults: faults}
+	n := &Node{Coordinator: coord, Shapes: shapes, clientSlots: clientSlots, clickHouseEngines: clickHouse,
+		workerGroups: workerGroups, deadlines: deadlines, now: now, config: cfg,
+		Postgres: &pg.Server{Coordinator: coord, Deadlines: deadlines, Faults: faults, Now: now, AnswerMargin: answerMargin,
+			ConnLimiter:   clientSlots,
+			MaxInputBytes: min(max(int(cfg.MemoryMB*(1<<20)*inputMemoryShare)/maxClients, minInputBytes), maxInputBytes),
+			Random:        rand.New(rand.NewSource(int64(cfg.Seed) + 1))},
+		Discovery: &board.Watcher{Dialer: dialer, Deadlines: deadlines, Now: now, Listener: coord, Addr: cfg.DiscoveryAddr,
+			ConnectTimeout: 2 * cfg.ConnectTimeout, WarmUpTime: cfg.Scheduler.WarmUpTime}}
+	if cfg.Local.ClickHouse.Listen != "" {
+		n.ClickHouse = &chhttp.Front{Coordinator: coord, Deadlines: deadlines, Faults: faults, Now: now, Margin: answerMargin,
+			Seats: clientSlots, Random: rand.New(rand.NewSource(int64(cfg.Seed) + 2)), Config: cfg,
+			MostHeld: int(cfg.MemoryMB * (1 << 20) * bodyMemoryShare)}
+		n.ClickHouse.Start()
 	}
-	if n.keeper = keeper; keeper != nil {
-		n.keep(c.Local.Shapes.SaveInterval)
+	if n.snapshots = snapshots; snapshots != nil {
+		n.scheduleShapeSaves(cfg.Local.Shapes.SaveInterval)
 	}
-	return n, n.Watch.LoadKnown(c.Known)
+	return n, n.Discovery.LoadKnown(cfg.Known)
 }
 
-// remember fills a Book from its file, if there is to be one. What can't be believed is told, and the Book stays empty.
-func remember(book *shape.Catalog, s config.Shapes) *snapshot.AsyncWriter {
-	if s.File == "" {
+// loadShapes fills the shapes from their snapshot file and returns the writer of further snapshots. If the file can't be read or
+// is invalid, the reason is logged and the shapes stay empty. Without a configured file, it returns nil.
+func loadShapes(shapes *shape.Catalog, settings config.Shapes) *snapshot.AsyncWriter {
+	if settings.File == "" {
 		return nil
 	}
-	payload, err := snapshot.Read(s.File, shape.DumpKind, shape.DumpVersion, mostSnapshot)
+	payload, err := snapshot.Read(settings.File, shape.DumpKind, shape.DumpVersion, maxSnapshotBytes)
 	count := 0
 	if err == nil {
-		count, err = book.Load(payload)
+		count, err = shapes.Load(payload)
 	}
 	if err != nil {
-		slog.Warn("shapes-empty", "file", s.File, "error", err)
+		slog.Warn("shapes-empty", "file", settings.File, "error", err)
 	} else {
-		slog.Info("shapes-loaded", "file", s.File, "shapes", count)
+		slog.Info("shapes-loaded", "file", settings.File, "shapes", count)
 	}
-	return snapshot.NewAsyncWriter(s.File, shape.DumpKind, shape.DumpVersion)
+	return snapshot.NewAsyncWriter(settings.File, shape.DumpKind, shape.DumpVersion)
 }
 
-// keep has the shapes written down now and then, a few in a turn.
-func (n *Node) keep(every float64) {
-	var d *shape.Dump
-	e := &deadline.Entry{}
-	e.Do = func() {
-		if d == nil {
-			d = n.Shapes.Dump()
+// scheduleShapeSaves saves the shapes at the given interval. Each turn writes only some of them, so that it stays short.
+func (n *Node) scheduleShapeSaves(interval float64) {
+	var dump *shape.Dump
+	entry := &deadline.Entry{}
+	entry.Do = func() {
+		if dump == nil {
+			dump = n.Shapes.Dump()
 		}
-		if !d.Step(shapesATurn) {
-			n.queue.Set(e, n.now()+1)
+		if !dump.Step(shapesPerTurn) {
+			n.deadlines.Set(entry, n.now()+1)
 			return
 		}
-		n.keeper.Save(d.Bytes())
-		d = nil
-		n.queue.Set(e, n.now()+every)
+		n.snapshots.Save(dump.Bytes())
+		dump = nil
+		n.deadlines.Set(entry, n.now()+interval)
 	}
-	n.queue.Set(e, n.now()+every)
+	n.deadlines.Set(entry, n.now()+interval)
 }
 
-// Turn lets the module answer what has come in.
+// Turn samples the wall clock and has the scheduler process all events of this event-loop turn.
 func (n *Node) Turn() {
-	if n.Clock != nil {
-		n.Clock.Sample()
+	if n.WallClock != nil {
+		n.WallClock.Sample()
 	}
 	n.Coordinator.Turn()
 }
 
-// Snapshot is a copy of what is counted, for others than the loop.
+// Snapshot returns a copy of all counters, for use outside the event loop.
 func (n *Node) Snapshot() metrics.Snapshot {
 	s := metrics.Snapshot{Accounts: n.Coordinator.Accounts.Rows(), Shapes: n.Shapes.Stats(), Unproven: map[string]uint64{},
-		Unanswered: n.Coordinator.Unanswered(), InFlight: n.out(), ClientConnections: n.seats.Count(),
+		Unanswered: n.Coordinator.Unanswered(), InFlight: n.inFlight(), ClientConnections: n.clientSlots.Count(),
 		RetryReasons: n.Coordinator.RetryReasons.Rows(), UnservedReasons: n.Coordinator.UnservedReasons.Rows()}
-	if n.Clock != nil {
-		s.Clock = n.Clock.State()
+	if n.WallClock != nil {
+		s.Clock = n.WallClock.State()
 	}
 	s.StormStates = map[string]surge.State{"": n.Coordinator.StormState("")}
-	for _, t := range n.config.Scheduler.Tenants {
-		s.StormStates[t.Name] = n.Coordinator.StormState(t.Name)
+	for _, tenant := range n.config.Scheduler.Tenants {
+		s.StormStates[tenant.Name] = n.Coordinator.StormState(tenant.Name)
 	}
-	for d := shape.NoReason + 1; d < shape.NumReasons; d++ {
-		if k := n.Coordinator.Unproven(d); k > 0 {
-			s.Unproven[d.String()] = k
+	for doubt := shape.NoReason + 1; doubt < shape.NumReasons; doubt++ {
+		if count := n.Coordinator.Unproven(doubt); count > 0 {
+			s.Unproven[doubt.String()] = count
 		}
 	}
 	return s
 }
 
-// Close writes down what is to outlast the program. It comes after the last turn.
+// Close saves the shapes. It is called after the last turn.
 func (n *Node) Close() {
-	if n.keeper == nil {
+	if n.snapshots == nil {
 		return
 	}
-	d := n.Shapes.Dump()
-	for !d.Step(shapesATurn) {
+	dump := n.Shapes.Dump()
+	for !dump.Step(shapesPerTurn) {
 	}
-	n.keeper.Save(d.Bytes())
-	n.keeper.Close()
+	n.snapshots.Save(dump.Bytes())
+	n.snapshots.Close()
 }
 
-// Reload takes a configuration read anew. A faulty one leaves all as it is; of a good one the board's address
-// counts, and the rest waits for a restart.
-func (n *Node) Reload(read func() (config.Config, error)) { n.reload(read, reloadTries) }
+// Reload reads the configuration again. An invalid one changes nothing. Of a valid one, only the address of the discovery
+// service takes effect; other changes need a restart.
+func (n *Node) Reload(read func() (config.Config, error)) { n.reload(read, maxReloadTries) }
 
-// reload tries again where the system is short of something for a moment: nobody asks for the new board a second time.
-func (n *Node) reload(read func() (config.Config, error), tries int) {
-	c, err := read()
-	if err != nil && tries > 1 && config.Transient(err) {
+// reload reads the configuration and tries again after a temporary failure, such as a lack of descriptors, because the request
+// to reload is made only once and the new address of the discovery service would be lost.
+func (n *Node) reload(read func() (config.Config, error), triesLeft int) {
+	cfg, err := read()
+	if err != nil && triesLeft > 1 && config.Transient(err) {
 		slog.Warn("reload-again", "error", err)
-		n.queue.Set(&deadline.Entry{Do: func() { n.reload(read, tries-1) }}, n.now()+reloadPause)
+		n.deadlines.Set(&deadline.Entry{Do: func() { n.reload(read, triesLeft-1) }}, n.now()+reloadRetryDelay)
 		return
 	}
 	if err != nil {
 		slog.Error("reload-refused", "error", err)
 		return
 	}
-	slog.Info("reloaded", "board", c.DiscoveryAddr, "for-restart", n.config.RestartKeys(c))
-	n.Watch.SetAddr(c.DiscoveryAddr)
+	slog.Info("reloaded", "board", cfg.DiscoveryAddr, "for-restart", n.config.RestartKeys(cfg))
+	n.Discovery.SetAddr(cfg.DiscoveryAddr)
 }
 
-// close has all fronts refuse what is new.
-func (n *Node) close() {
-	n.Sessions.ShuttingDown = true
-	if n.Front != nil {
-		n.Front.Leaving = true
+// refuseNewRequests makes the servers of all protocols refuse new requests.
+func (n *Node) refuseNewRequests() {
+	n.Postgres.ShuttingDown = true
+	if n.ClickHouse != nil {
+		n.ClickHouse.Leaving = true
 	}
 }
 
-// out is the number of attempts that may run on some engine.
-func (n *Node) out() int {
-	if n.ch != nil {
-		return n.fleet.InFlight() + n.ch.Out()
+// inFlight returns the number of attempts that may be running on an engine.
+func (n *Node) inFlight() int {
+	if n.clickHouseEngines != nil {
+		return n.workerGroups.InFlight() + n.clickHouseEngines.Out()
 	}
-	return n.fleet.InFlight()
+	return n.workerGroups.InFlight()
 }
 
-// FreeDescriptor closes an unused connection to an engine, if there is one.
-func (n *Node) FreeDescriptor() { n.fleet.CloseIdleConn() }
+// FreeDescriptor closes an idle connection to a worker group, if there is one.
+func (n *Node) FreeDescriptor() { n.workerGroups.CloseIdleConn() }
 
-// pending is the number of bytes on their way to clients.
-func (n *Node) pending() int {
-	p := n.Sessions.Pending()
-	if n.Front != nil {
-		p += n.Front.Pending()
+// pendingBytes returns the number of bytes that are still to be sent to clients.
+func (n *Node) pendingBytes() int {
+	sum := n.Postgres.Pending()
+	if n.ClickHouse != nil {
+		sum += n.ClickHouse.Pending()
 	}
-	return p
+	return sum
 }
 
-// Accept makes the object behind a new connection, by the number of the address in Listen that it came to.
+// Accept returns the handler of a new client connection. listener is the index in ListenAddrs of the address it arrived at.
 func (n *Node) Accept(listener int) link.Handler {
 	if listener == 1 {
-		return n.Front.Accept()
+		return n.ClickHouse.Accept()
 	}
-	return n.Sessions.Accept()
+	return n.Postgres.Accept()
 }
 
-// Listen are the addresses to serve.
-func (n *Node) Listen() []string {
-	if n.Front == nil {
+// ListenAddrs returns the addresses at which clients are served.
+func (n *Node) ListenAddrs() []string {
+	if n.ClickHouse == nil {
 		return []string{n.config.Listen}
 	}
 	return []string{n.config.Listen, n.config.Local.ClickHouse.Listen}
 }
 
-// Leave calls stop once nothing new comes and all that was taken is answered and written. What would take longer than
-// SIGKILL leaves is given up before that: its client may then still try elsewhere. Asked again, it does nothing.
-func (n *Node) Leave(stop func()) {
-	if n.leaving {
+// ShutDown accepts requests for a grace period, then refuses new ones and calls stop once all accepted requests are answered
+// and the answers are sent. Requests still open shortly before SIGKILL may come are ended, so that their clients can still
+// retry elsewhere. Further calls do nothing.
+func (n *Node) ShutDown(stop func()) {
+	if n.shuttingDown {
 		return
 	}
-	n.leaving = true
+	n.shuttingDown = true
 	slog.Info("leaving", "owed", n.Coordinator.Unanswered())
-	longest := 0.0
-	for _, c := range n.config.Scheduler.Classes {
-		longest = max(longest, c.ClientTimeout)
+	longestTimeout := 0.0
+	for _, class := range n.config.Scheduler.Classes {
+		longestTimeout = max(longestTimeout, class.ClientTimeout)
 	}
-	last := n.now() + min(longest, killMost) + killAfter - answerBefore
-	n.queue.Set(&deadline.Entry{Do: func() {
-		n.close()
+	lastAnswerTime := n.now() + min(longestTimeout, maxKillTimeout) + killDelay - killMargin
+	n.deadlines.Set(&deadline.Entry{Do: func() {
+		n.refuseNewRequests()
 		n.Coordinator.ShutDown()
-	}}, last)
-	e := &deadline.Entry{}
-	e.Do = func() {
-		n.close()
-		if n.Coordinator.Unanswered() == 0 && n.pending() == 0 && (n.out() == 0 || n.now() > last+cancelWithin) {
+	}}, lastAnswerTime)
+	entry := &deadline.Entry{}
+	entry.Do = func() {
+		n.refuseNewRequests()
+		if n.Coordinator.Unanswered() == 0 && n.pendingBytes() == 0 &&
+			(n.inFlight() == 0 || n.now() > lastAnswerTime+cancelGrace) {
 			stop()
 			return
 		}
-		n.queue.Set(e, n.now()+stayCheck)
+		n.deadlines.Set(entry, n.now()+shutdownCheckInterval)
 	}
-	n.queue.Set(e, n.now()+stayAfter)
+	n.deadlines.Set(entry, n.now()+shutdownGrace)
 }
--- a/internal/node/order_test.go
+++ b/internal/node/order_test.go
@@ -16,514 +16,542 @@
 	"thymeway/internal/link"
 )
 
-// faultyNetwork is a network with worker groups that are cut off, reset connections, drain, crash and fall silent for good. The
-// worker groups keep account of what runs, and check the rules on what they see themselves.
+// faultyNetwork is a network with worker groups that become unreachable, reset connections, drain, crash, hang and fall silent
+// for good. It knows which queries run, and records violations of the rules for order keys and attempts.
 type faultyNetwork struct {
-	*world
-	engines []*engineStub
-	seq     map[string]int     // requests by id, in the order in which the program took them
-	keyOf   map[string]string  // by id
-	begun   map[string]int     // by key: the latest request of which an attempt was sent
-	rest    map[string]resting // by key
-	sticky  bool               // an answer that is not delivered yet counts as asked for
-	rough   float64            // chance of a reset under a call, and of a spoilt answer
+	*simulation
+	engines          []*engineStub
+	arrivalOrder     map[string]int          // by request id: its position in the order in which the coordinator accepted them
+	orderKeys        map[string]string       // by request id
+	latestSent       map[string]int          // by order key: position of the latest request of which an attempt was sent
+	lastCancelled    map[string]cancellation // by order key
+	keepsUndelivered bool                    // a query counts as polled while an answer about it is in transit
+	faultRate        float64                 // probability of a reset during a call, a malformed answer or a duplicate answer
 }
 
-// resting is when an attempt of a key's request was given up last.
-type resting struct {
-	at  float64
-	seq int
+// cancellation is the latest cancellation of an attempt of any request with an order key.
+type cancellation struct {
+	at           float64
+	arrivalOrder int // of the request
 }
 
-// engineStub is a worker group.
+// engineStub is a simulated worker group.
 type engineStub struct {
-	s        *faultyNetwork
-	id, addr string
-	from, to float64 // of its cut
-	hung     float64 // until when its process stands still: nothing of it ends or is dropped before
-	drains   bool
-	down     bool
-	conns    []*connStub
-	queries  map[string]*runStub
-	notes    map[string]int    // of queries that are over: handed out ahead of their ends
-	ends     map[string]string // what a call for the news of an ended query is told
+	network           *faultyNetwork
+	id, addr          string
+	cutFrom, cutUntil float64 // period during which it is unreachable
+	hungUntil         float64 // time until which its process is stopped, so that no query ends or is dropped
+	draining          bool
+	down              bool
+	conns             []*connStub
+	queries           map[string]*runStub
+	leftNotices       map[string]int    // of ended queries: progress notices that are sent before the end
+	endAnswers        map[string]string // answers to polls for ended queries, by id
 }
 
-// runStub is a query that runs, or whose second page is not read yet.
+// runStub is a query that runs, or whose second page has not been fetched yet.
 type runStub struct {
-	asked float64
-	ended bool
-	notes int // that were not handed out yet
-	held  []func(answer string)
-	owed  int // answers on their way
+	lastPolled  float64
+	ended       bool
+	notices     int                   // progress notices not sent yet
+	heldPolls   []func(answer string) // polls that are not answered yet
+	undelivered int                   // answers in transit
 }
 
-// connStub is a connection: bytes of either side come in their order, late where a cut lies in between.
+// connStub is a connection to an engineStub. Data of each direction is delivered in order, and while the worker group is
+// unreachable only once that period has ended.
 type connStub struct {
-	e              *engineStub
-	h              link.Handler
-	ours, theirs   bool // ended by the program, by the worker group
-	there, back    float64
-	aborted, fined bool
+	engine                          *engineStub
+	handler                         link.Handler
+	coordinatorClosed, engineClosed bool
+	lastToEngine, lastToCoordinator float64 // time of the latest delivery in each direction
+	aborted, finSent                bool
 }
 
-const settle = 500.0
+// orderSettleTime is the pause in ms that the coordinator has to keep on an order key after an attempt that may still run.
+const orderSettleTime = 500.0
 
-// arrive is when what is sent now comes, behind what was sent before.
-func (c *connStub) arrive(last *float64) float64 {
-	s := c.e.s
-	at := s.now + 1 + s.rand.Float64()
-	if at >= c.e.from && at < c.e.to {
-		at = c.e.to + 40*s.rand.Float64()
-	}
-	*last = max(*last, at)
-	return *last - s.now
+// deliveryDelay returns the time in ms after which data sent now is delivered. It is not delivered before data that was sent
+// earlier in the same direction, whose latest delivery is *last.
+func (c *connStub) deliveryDelay(last *float64) float64 {
+	network := c.engine.network
+	arrival := network.now + 1 + network.rand.Float64()
+	if arrival >= c.engine.cutFrom && arrival < c.engine.cutUntil {
+		arrival = c.engine.cutUntil + 40*network.rand.Float64()
+	}
+	*last = max(*last, arrival)
+	return *last - network.now
 }
 
-func (s *faultyNetwork) Dial(addr string, h link.Handler) {
-	for _, e := range s.engines {
+// Dial connects to a worker group. An unreachable one times out; one that drains or is down refuses the connection.
+func (n *faultyNetwork) Dial(addr string, h link.Handler) {
+	for _, e := range n.engines {
 		if e.addr != addr {
 			continue
 		}
 		switch {
-		case s.now >= e.from && s.now < e.to:
-			s.at(250, func() { h.Closed(link.Unreachable) })
-		case e.drains || e.down:
-			s.at(1, func() { h.Closed(link.ConnRefused) })
+		case n.now >= e.cutFrom && n.now < e.cutUntil:
+			n.schedule(250, func() { h.Closed(link.Unreachable) })
+		case e.draining || e.down:
+			n.schedule(1, func() { h.Closed(link.ConnRefused) })
 		default:
-			c := &connStub{e: e, h: h}
+			c := &connStub{engine: e, handler: h}
 			e.conns = append(e.conns, c)
-			s.at(1, func() { h.Opened(c) })
+			n.schedule(1, func() { h.Opened(c) })
 		}
 		return
 	}
-	s.at(1, func() { h.Closed(link.ConnRefused) })
+	n.schedule(1, func() { h.Closed(link.ConnRefused) })
 }
 
 func (c *connStub) Pending() int { return 0 }
-func (c *connStub) Idle() bool   { return !c.theirs && !c.ours }
+func (c *connStub) Idle() bool   { return !c.engineClosed && !c.coordinatorClosed }
 
-// Close ends the program's side behind what it has written, which comes all the same.
+// Close closes the coordinator's side. Data written before is still delivered.
 func (c *connStub) Close() {
-	c.ours = true
-	c.fin()
+	c.coordinatorClosed = true
+	c.sendFin()
 }
 
-func (c *connStub) CloseWrite() { c.fin() }
+func (c *connStub) CloseWrite() { c.sendFin() }
 
-func (c *connStub) fin() {
-	if !c.fined {
-		c.fined = true
-		c.e.s.at(c.arrive(&c.there), func() { c.end(link.PeerClosed) })
+// sendFin sends the end of the coordinator's data, once.
+func (c *connStub) sendFin() {
+	if !c.finSent {
+		c.finSent = true
+		c.engine.network.schedule(c.deliveryDelay(&c.lastToEngine), func() { c.closeByEngine(link.PeerClosed) })
 	}
 }
 
-// Abort drops what has not come yet.
+// Abort closes the coordinator's side and discards data that is not delivered yet.
 func (c *connStub) Abort() {
-	c.ours, c.aborted = true, true
-	c.e.s.at(c.arrive(&c.there), func() { c.end(link.ConnReset) })
+	c.coordinatorClosed, c.aborted = true, true
+	c.engine.network.schedule(c.deliveryDelay(&c.lastToEngine), func() { c.closeByEngine(link.ConnReset) })
 }
 
-// end is the worker group's side ending: nothing is read or answered any more.
-func (c *connStub) end(how link.EndReason) {
-	if c.theirs {
+// closeByEngine closes the worker group's side: it reads and answers nothing more.
+func (c *connStub) closeByEngine(reason link.EndReason) {
+	if c.engineClosed {
 		return
 	}
-	c.theirs = true
-	c.e.conns = slices.DeleteFunc(c.e.conns, func(x *connStub) bool { return x == c })
-	c.e.s.at(c.arrive(&c.back), func() {
-		if !c.ours {
-			c.ours = true
-			c.h.Closed(how)
+	c.engineClosed = true
+	c.engine.conns = slices.DeleteFunc(c.engine.conns, func(x *connStub) bool { return x == c })
+	c.engine.network.schedule(c.deliveryDelay(&c.lastToCoordinator), func() {
+		if !c.coordinatorClosed {
+			c.coordinatorClosed = true
+			c.handler.Closed(reason)
 		}
 	})
 }
 
+// Write sends a call to the worker group.
 func (c *connStub) Write(b []byte) {
-	if c.ours {
+	if c.coordinatorClosed {
 		return
 	}
-	s, text := c.e.s, string(b)
+	network, text := c.engine.network, string(b)
 	if strings.HasPrefix(text, "POST") {
-		s.sent(hop.FindStringSubmatch(text)[1])
+		network.checkSend(hopIDPattern.FindStringSubmatch(text)[1])
 	}
-	s.at(c.arrive(&c.there), func() {
-		if !c.theirs && !c.aborted {
-			c.e.take(c, text)
+	network.schedule(c.deliveryDelay(&c.lastToEngine), func() {
+		if !c.engineClosed && !c.aborted {
+			c.engine.handleCall(c, text)
 		}
 	})
 }
 
-// sent checks the order as the program sends: no earlier request of the key is out, and the key has rested.
-func (s *faultyNetwork) sent(id string) {
-	key := s.keyOf[id]
+// checkSend checks a POST at the time at which the coordinator sends it: no later request of its order key has been sent, no
+// other one is running, and orderSettleTime has passed since an attempt of another one was cancelled.
+func (n *faultyNetwork) checkSend(id string) {
+	key := n.orderKeys[id]
 	if key == "" {
 		return
 	}
-	if s.seq[id] < s.begun[key] {
-		s.broke = append(s.broke, fmt.Sprintf("%.0f: %s is sent after a later one of its key", s.now-start, id))
+	if n.arrivalOrder[id] < n.latestSent[key] {
+		n.violations = append(n.violations,
+			fmt.Sprintf("%.0f: %s is sent after a later request of its order key", n.now-startTime, id))
 	}
-	s.begun[key] = s.seq[id]
-	for _, e := range s.engines {
-		for o := range e.queries {
-			if o != id && s.keyOf[o] == key {
-				s.broke = append(s.broke, fmt.Sprintf("%.0f: %s is sent while %s runs", s.now-start, id, o))
+	n.latestSent[key] = n.arrivalOrder[id]
+	for _, e := range n.engines {
+		for otherID := range e.queries {
+			if otherID != id && n.orderKeys[otherID] == key {
+				n.violations = append(n.violations, fmt.Sprintf("%.0f: %s is sent while %s runs", n.now-startTime, id, otherID))
 			}
 		}
 	}
-	if r := s.rest[key]; r.seq != s.seq[id] && s.now < r.at+settle {
-		s.broke = append(s.broke, fmt.Sprintf("%.0f: %s is sent %.0f ms after an attempt of its key was given up", s.now-start, id, s.now-r.at))
+	if cancelled := n.lastCancelled[key]; cancelled.arrivalOrder != n.arrivalOrder[id] && n.now < cancelled.at+orderSettleTime {
+		n.violations = append(n.violations, fmt.Sprintf(
+			"%.0f: %s is sent %.0f ms after an attempt of its order key was cancelled", n.now-startTime, id, n.now-cancelled.at))
 	}
 }
 
-func (e *engineStub) answer(c *connStub, text string, then func()) {
-	s := e.s
-	if s.rand.Float64() < s.rough {
-		text = "HTTP/1.1 2x0 OK\r\n\r\n"
-	}
-	s.at(c.arrive(&c.back), func() {
-		if then != nil {
-			then()
+// sendAnswer sends an answer and calls onDelivery when it arrives. At the network's fault rate, the answer is malformed or,
+// unless its status is 202, sent twice.
+func (e *engineStub) sendAnswer(c *connStub, answer string, onDelivery func()) {
+	network := e.network
+	if network.rand.Float64() < network.faultRate {
+		answer = "HTTP/1.1 2x0 OK\r\n\r\n"
+	}
+	network.schedule(c.deliveryDelay(&c.lastToCoordinator), func() {
+		if onDelivery != nil {
+			onDelivery()
 		}
-		if !c.ours {
-			c.h.Received([]byte(text))
+		if !c.coordinatorClosed {
+			c.handler.Received([]byte(answer))
 		}
 	})
-	if !strings.Contains(text, " 202 ") && s.rand.Float64() < s.rough { // a second copy
-		c.back += 3 * s.rand.Float64()
-		s.at(c.back-s.now, func() {
-			if !c.ours {
-				c.h.Received([]byte(text))
+	if !strings.Contains(answer, " 202 ") && network.rand.Float64() < network.faultRate { // duplicate
+		c.lastToCoordinator += 3 * network.rand.Float64()
+		network.schedule(c.lastToCoordinator-network.now, func() {
+			if !c.coordinatorClosed {
+				c.handler.Received([]byte(answer))
 			}
 		})
 	}
 }
 
-const unknown = "HTTP/1.1 500 -\r\nContent-Length: 0\r\n\r\n"
+// unknownQueryAnswer is the answer for a failed query, and for one that the worker group does not know.
+const unknownQueryAnswer = "HTTP/1.1 500 -\r\nContent-Length: 0\r\n\r\n"
 
-// take takes a call that has come whole.
-func (e *engineStub) take(c *connStub, text string) {
-	s := e.s
+// handleCall handles a call that has arrived. At the network's fault rate, the connection is reset before or after that.
+func (e *engineStub) handleCall(c *connStub, call string) {
+	network := e.network
 	if e.down {
 		return
 	}
-	roll := s.rand.Float64()
-	if roll < s.rough { // reset before it is heard
-		c.end(link.ConnReset)
+	roll := network.rand.Float64()
+	if roll < network.faultRate { // reset before the call is processed
+		c.closeByEngine(link.ConnReset)
 		return
 	}
-	line := strings.Fields(text)
+	line := strings.Fields(call)
 	id := strings.Split(line[1]+"//", "/")[2]
 	switch line[0] {
 	case "POST":
-		id = hop.FindStringSubmatch(text)[1]
-		if s.rand.Intn(20) == 0 {
-			e.ends[id] = "HTTP/1.1 503 -\r\nX-No-Effect: 1\r\nContent-Length: 0\r\n\r\n"
-			e.answer(c, e.ends[id], nil)
+		id = hopIDPattern.FindStringSubmatch(call)[1]
+		if network.rand.Intn(20) == 0 {
+			e.endAnswers[id] = "HTTP/1.1 503 -\r\nX-No-Effect: 1\r\nContent-Length: 0\r\n\r\n"
+			e.sendAnswer(c, e.endAnswers[id], nil)
 			break
 		}
-		e.begin(id)
-		e.poll(c, id)
+		e.startQuery(id)
+		e.answerPoll(c, id)
 	case "GET":
 		if strings.HasSuffix(line[1], "/1") {
-			e.page(c, id)
+			e.answerPage(c, id)
 		} else {
-			e.poll(c, id)
+			e.answerPoll(c, id)
 		}
 	case "DELETE":
-		e.over(id, unknown, true)
-		e.answer(c, "HTTP/1.1 204 -\r\n\r\n", nil)
+		e.endQuery(id, unknownQueryAnswer, true)
+		e.sendAnswer(c, "HTTP/1.1 204 -\r\n\r\n", nil)
 	}
-	if roll < 2*s.rough {
-		c.end(link.ConnReset)
+	if roll < 2*network.faultRate {
+		c.closeByEngine(link.ConnReset)
 	}
 }
 
-// begin starts a query, and checks that none of its key and none of its own runs.
-func (e *engineStub) begin(id string) {
-	s, key := e.s, e.s.keyOf[id]
-	for _, x := range s.engines {
-		for o := range x.queries {
-			if o == id || key != "" && s.keyOf[o] == key {
-				s.broke = append(s.broke, fmt.Sprintf("%.0f: %s begins on %s while %s runs on %s", s.now-start, id, e.id, o, x.id))
+// startQuery starts a query and checks that no other query of its order key and no other attempt of its request is running.
+// The query ends after a random time, or is dropped if it is not polled for 2 s; a notice is added every 400 ms.
+func (e *engineStub) startQuery(id string) {
+	network, key := e.network, e.network.orderKeys[id]
+	for _, engine := range network.engines {
+		for otherID := range engine.queries {
+			if otherID == id || key != "" && network.orderKeys[otherID] == key {
+				network.violations = append(network.violations, fmt.Sprintf(
+					"%.0f: %s begins on %s while %s runs on %s", network.now-startTime, id, e.id, otherID, engine.id))
 			}
 		}
 	}
-	if key != "" && s.seq[id] < s.begun[key] {
-		s.broke = append(s.broke, fmt.Sprintf("%.0f: %s begins after a later one of its key was sent", s.now-start, id))
-	}
-	v := &runStub{asked: s.now}
-	e.queries[id] = v
-	delete(e.ends, id)
-	delete(e.notes, id)
-	var note func()
-	note = func() {
-		if e.queries[id] == v && !v.ended {
-			v.notes++
-			s.at(400, note)
+	if key != "" && network.arrivalOrder[id] < network.latestSent[key] {
+		network.violations = append(network.violations, fmt.Sprintf(
+			"%.0f: %s begins after a later request of its order key was sent", network.now-startTime, id))
+	}
+	query := &runStub{lastPolled: network.now}
+	e.queries[id] = query
+	delete(e.endAnswers, id)
+	delete(e.leftNotices, id)
+	var addNotice func()
+	addNotice = func() {
+		if e.queries[id] == query && !query.ended {
+			query.notices++
+			network.schedule(400, addNotice)
 		}
 	}
-	s.at(400, note)
-	end := "HTTP/1.1 200 OK\r\nPage-Count: 1\r\nWork-Ms: 5\r\nPeak-Mb: 8\r\nContent-Length: 6\r\n\r\na\tb\tc\n"
-	two := strings.Replace(end, "Page-Count: 1", "Page-Count: 2", 1)
-	roll := s.rand.Intn(10)
-	e.whenRunning(20+s.rand.ExpFloat64()*800, func() {
+	network.schedule(400, addNotice)
+	onePage := "HTTP/1.1 200 OK\r\nPage-Count: 1\r\nWork-Ms: 5\r\nPeak-Mb: 8\r\nContent-Length: 6\r\n\r\na\tb\tc\n"
+	twoPages := strings.Replace(onePage, "Page-Count: 1", "Page-Count: 2", 1)
+	roll := network.rand.Intn(10)
+	e.whenRunning(20+network.rand.ExpFloat64()*800, func() {
 		switch {
-		case e.queries[id] != v:
+		case e.queries[id] != query:
 		case roll == 0:
-			e.over(id, unknown, false)
+			e.endQuery(id, unknownQueryAnswer, false)
 		case roll < 4:
-			v.ended, e.ends[id] = true, two
-			for _, f := range v.held {
-				f(two)
+			query.ended, e.endAnswers[id] = true, twoPages
+			for _, reply := range query.heldPolls {
+				reply(twoPages)
 			}
 		default:
-			e.over(id, end, false)
+			e.endQuery(id, onePage, false)
 		}
 	})
-	var look func()
-	look = func() {
-		if e.queries[id] != v {
+	var dropIfUnpolled func()
+	dropIfUnpolled = func() {
+		if e.queries[id] != query {
 			return
 		}
-		if left := v.asked + 2000 - s.now; left > 0 || v.owed > 0 {
-			e.whenRunning(max(left, 100), look)
+		if remaining := query.lastPolled + 2000 - network.now; remaining > 0 || query.undelivered > 0 {
+			e.whenRunning(max(remaining, 100), dropIfUnpolled)
 			return
 		}
-		e.over(id, unknown, true)
+		e.endQuery(id, unknownQueryAnswer, true)
 	}
-	e.whenRunning(2000, look)
+	e.whenRunning(2000, dropIfUnpolled)
 }
 
-// whenRunning does something after so many ms, or once the process runs again.
-func (e *engineStub) whenRunning(after float64, do func()) {
-	e.s.at(after, func() {
-		if left := e.hung - e.s.now; left > 0 {
-			e.whenRunning(left+e.s.rand.Float64(), do)
+// whenRunning calls do after a delay in ms or, if the process hangs at that time, once it resumes.
+func (e *engineStub) whenRunning(delay float64, do func()) {
+	e.network.schedule(delay, func() {
+		if remaining := e.hungUntil - e.network.now; remaining > 0 {
+			e.whenRunning(remaining+e.network.rand.Float64(), do)
 			return
 		}
 		do()
 	})
 }
 
-// over ends a query: by itself, or given up.
-func (e *engineStub) over(id, end string, givenUp bool) {
-	v := e.queries[id]
-	if v == nil {
+// endQuery ends a query, which completed or was cancelled, and answers its held polls.
+func (e *engineStub) endQuery(id, answer string, cancelled bool) {
+	query := e.queries[id]
+	if query == nil {
 		return
 	}
 	delete(e.queries, id)
-	e.ends[id] = end
-	if givenUp {
-		e.notes[id] = v.notes
+	e.endAnswers[id] = answer
+	if cancelled {
+		e.leftNotices[id] = query.notices
 	}
-	if key := e.s.keyOf[id]; givenUp && key != "" {
-		e.s.rest[key] = resting{e.s.now, e.s.seq[id]}
+	if key := e.network.orderKeys[id]; cancelled && key != "" {
+		e.network.lastCancelled[key] = cancellation{e.network.now, e.network.arrivalOrder[id]}
 	}
-	for _, f := range v.held {
-		f(end)
+	for _, reply := range query.heldPolls {
+		reply(answer)
 	}
 }
 
-// page gives the second page of a result; then the query is over.
-func (e *engineStub) page(c *connStub, id string) {
-	v := e.queries[id]
-	if v == nil || !v.ended {
-		e.answer(c, unknown, nil)
+// answerPage sends the second page of a result and ends the query.
+func (e *engineStub) answerPage(c *connStub, id string) {
+	query := e.queries[id]
+	if query == nil || !query.ended {
+		e.sendAnswer(c, unknownQueryAnswer, nil)
 		return
 	}
-	v.asked = e.s.now
-	e.over(id, e.ends[id], false)
-	e.answer(c, "HTTP/1.1 200 OK\r\nPage-No: 1\r\nContent-Length: 6\r\n\r\nd\te\tf\n", nil)
+	query.lastPolled = e.network.now
+	e.endQuery(id, e.endAnswers[id], false)
+	e.sendAnswer(c, "HTTP/1.1 200 OK\r\nPage-No: 1\r\nContent-Length: 6\r\n\r\nd\te\tf\n", nil)
 }
 
-// poll tells the news of a query: its end, or after 250 ms that it runs.
-func (e *engineStub) poll(c *connStub, id string) {
-	s, v := e.s, e.queries[id]
-	if v != nil && v.notes > 0 || e.notes[id] > 0 {
-		if v != nil {
-			v.asked = s.now
-			v.notes--
+// answerPoll answers a poll: with a progress notice, with the end of the query, or after 250 ms with status 202, as it runs on.
+func (e *engineStub) answerPoll(c *connStub, id string) {
+	network, query := e.network, e.queries[id]
+	if query != nil && query.notices > 0 || e.leftNotices[id] > 0 {
+		if query != nil {
+			query.lastPolled = network.now
+			query.notices--
 		} else {
-			e.notes[id]--
+			e.leftNotices[id]--
 		}
-		e.answer(c, "HTTP/1.1 202 -\r\nX-Tell: advance\r\nFigure: 0.5\r\nContent-Length: 0\r\n\r\n", nil)
+		e.sendAnswer(c, "HTTP/1.1 202 -\r\nX-Tell: advance\r\nFigure: 0.5\r\nContent-Length: 0\r\n\r\n", nil)
 		return
 	}
-	if v != nil && v.ended {
-		v.asked = s.now
+	if query != nil && query.ended {
+		query.lastPolled = network.now
 	}
-	if v == nil || v.ended {
-		end := e.ends[id]
-		if end == "" {
-			end = unknown
+	if query == nil || query.ended {
+		answer := e.endAnswers[id]
+		if answer == "" {
+			answer = unknownQueryAnswer
 		}
-		e.answer(c, end, nil)
+		e.sendAnswer(c, answer, nil)
 		return
 	}
-	v.asked = s.now
-	done := false
-	tell := func(text string) {
-		if !done && !c.theirs {
-			done = true
-			if s.sticky {
-				v.owed++
+	query.lastPolled = network.now
+	answered := false
+	reply := func(text string) {
+		if !answered && !c.engineClosed {
+			answered = true
+			if network.keepsUndelivered {
+				query.undelivered++
 			}
-			e.answer(c, text, func() {
-				if s.sticky {
-					v.owed--
-					v.asked = s.now
+			e.sendAnswer(c, text, func() {
+				if network.keepsUndelivered {
+					query.undelivered--
+					query.lastPolled = network.now
 				}
 			})
 		}
 	}
-	v.held = append(v.held, tell)
-	s.at(250, func() { tell("HTTP/1.1 202 -\r\nContent-Length: 0\r\n\r\n") })
+	query.heldPolls = append(query.heldPolls, reply)
+	network.schedule(250, func() { reply("HTTP/1.1 202 -\r\nContent-Length: 0\r\n\r\n") })
 }
 
-// trouble has one thing happen to a worker group.
-func (e *engineStub) trouble() {
-	s := e.s
-	switch s.rand.Intn(6) {
-	case 0, 1: // cut off, for less or more than any time that the program knows of
-		if s.now >= e.to {
-			e.from, e.to = s.now, s.now+200+s.rand.Float64()*12000
+// injectFault causes one random fault at the worker group.
+func (e *engineStub) injectFault() {
+	network := e.network
+	switch network.rand.Intn(6) {
+	case 0, 1: // unreachable, for shorter or longer than any timeout of the coordinator
+		if network.now >= e.cutUntil {
+			e.cutFrom, e.cutUntil = network.now, network.now+200+network.rand.Float64()*12000
 		}
-	case 2: // it drains; the list tells late, and it comes back as it was
-		e.drains = true
-		s.at(s.rand.Float64()*3000, func() { e.list(choice.Draining) })
-		s.at(3000+s.rand.Float64()*3000, func() { e.drains = false; e.list(choice.Healthy) })
-	case 3: // its process dies, and another one comes
+	case 2: // drains; it is announced late, and the same process becomes healthy again
+		e.draining = true
+		network.schedule(network.rand.Float64()*3000, func() { e.announce(choice.Draining) })
+		network.schedule(3000+network.rand.Float64()*3000, func() { e.draining = false; e.announce(choice.Healthy) })
+	case 3: // its process dies, and a new one starts
 		for _, c := range slices.Clone(e.conns) {
-			c.end(link.ConnReset)
+			c.closeByEngine(link.ConnReset)
 		}
 		for _, id := range slices.Sorted(maps.Keys(e.queries)) {
-			e.over(id, unknown, true)
+			e.endQuery(id, unknownQueryAnswer, true)
 		}
-		e.ends, e.notes, e.down = map[string]string{}, map[string]int{}, true
-		s.at(100+s.rand.Float64()*2000, func() { e.down = false })
-	case 5: // it hangs: nobody reaches it, and what it runs stays
-		if s.now < e.to {
+		e.endAnswers, e.leftNotices, e.down = map[string]string{}, map[string]int{}, true
+		network.schedule(100+network.rand.Float64()*2000, func() { e.down = false })
+	case 5: // hangs: it is unreachable, and its queries neither end nor are dropped
+		if network.now < e.cutUntil {
 			break
 		}
-		if s.rand.Intn(2) == 0 { // and its connections are reset as it begins
+		if network.rand.Intn(2) == 0 { // its connections are reset at the start
 			for _, c := range slices.Clone(e.conns) {
-				c.end(link.ConnReset)
+				c.closeByEngine(link.ConnReset)
 			}
 		}
-		e.from, e.to = s.now, s.now+200+s.rand.Float64()*12000
-		e.hung = e.to
-	case 4: // all its connections are reset, and it runs on
+		e.cutFrom, e.cutUntil = network.now, network.now+200+network.rand.Float64()*12000
+		e.hungUntil = e.cutUntil
+	case 4: // all its connections are reset, while its queries run on
 		for _, c := range slices.Clone(e.conns) {
-			c.end(link.ConnReset)
+			c.closeByEngine(link.ConnReset)
 		}
 	}
 }
 
-func (e *engineStub) list(st choice.Status) {
-	e.s.n.Coordinator.UpdateEngines(false, []coordinator.ListedEngine{{Engine: choice.Engine{ID: e.id, Zone: "room-a", Kind: "std-12", Size: 1, Status: st}, Addr: e.addr}})
+// announce passes the worker group's status to the coordinator, as the discovery service would.
+func (e *engineStub) announce(status choice.Status) {
+	e.network.node.Coordinator.UpdateEngines(false, []coordinator.ListedEngine{{
+		Engine: choice.Engine{ID: e.id, Zone: "room-a", Kind: "std-12", Size: 1, Status: status}, Addr: e.addr}})
 }
 
-// storm plays requests of a few keys against worker groups in trouble.
-func storm(t *testing.T, seed int64) (s *faultyNetwork, answers []float64, served int) {
+// runWithFaults sends 150 loads with 4 order keys to a coordinator whose worker groups suffer faults. lateness holds, for each
+// request, the time in ms from its limit to its answer, negative if the answer came before the limit; -1 also stands for a
+// client that disconnected, and 0 for a missing answer. served is the number of requests that succeeded.
+func runWithFaults(t *testing.T, seed int64) (network *faultyNetwork, lateness []float64, served int) {
 	c := conftest.Example(t)
-	w := &world{t: t, now: start, queue: deadline.New(), rand: rand.New(rand.NewSource(seed))}
-	s = &faultyNetwork{world: w, seq: map[string]int{}, keyOf: map[string]string{}, begun: map[string]int{}, rest: map[string]resting{}}
-	s.sticky, s.rough = w.rand.Intn(2) == 0, 0.06*w.rand.Float64()
+	sim := &simulation{t: t, now: startTime, deadlines: deadline.New(), rand: rand.New(rand.NewSource(seed))}
+	network = &faultyNetwork{simulation: sim, arrivalOrder: map[string]int{}, orderKeys: map[string]string{},
+		latestSent: map[string]int{}, lastCancelled: map[string]cancellation{}}
+	network.keepsUndelivered, network.faultRate = sim.rand.Intn(2) == 0, 0.06*sim.rand.Float64()
 	var err error
-	if w.n, err = New(c, s, w.queue, func() float64 { return w.now }, func() { w.woken = true }); err != nil {
+	if sim.node, err = New(c, network, sim.deadlines, func() float64 { return sim.now },
+		func() { sim.wakeRequested = true }); err != nil {
 		t.Fatal(err)
 	}
 	for i := range 4 {
-		e := &engineStub{s: s, id: fmt.Sprintf("s-toy%d", i+1), addr: fmt.Sprintf("127.0.0.1:%d", 4101+i), queries: map[string]*runStub{}, ends: map[string]string{}, notes: map[string]int{}}
-		s.engines = append(s.engines, e)
-		w.at(0, func() { e.list(choice.Healthy) })
-		for at := 500.0; at < 30000; at += 500 + w.rand.Float64()*8000 {
-			if w.rand.Intn(3) > 0 {
-				w.at(at, e.trouble)
+		e := &engineStub{network: network, id: fmt.Sprintf("s-toy%d", i+1), addr: fmt.Sprintf("127.0.0.1:%d", 4101+i),
+			queries: map[string]*runStub{}, endAnswers: map[string]string{}, leftNotices: map[string]int{}}
+		network.engines = append(network.engines, e)
+		sim.schedule(0, func() { e.announce(choice.Healthy) })
+		for at := 500.0; at < 30000; at += 500 + sim.rand.Float64()*8000 {
+			if sim.rand.Intn(3) > 0 {
+				sim.schedule(at, e.injectFault)
 			}
 		}
 	}
-	lost := s.engines[3]
-	w.at(25000, func() { lost.from, lost.to = w.now, w.now+1e9 }) // silent for good; what runs there ends some time
-	w.at(85000, func() {
-		lost.down = true
-		for _, id := range slices.Sorted(maps.Keys(lost.queries)) {
-			lost.over(id, unknown, true)
+	silentEngine := network.engines[3]
+	// Falls silent for good; the queries running there end at some later time.
+	sim.schedule(25000, func() { silentEngine.cutFrom, silentEngine.cutUntil = sim.now, sim.now+1e9 })
+	sim.schedule(85000, func() {
+		silentEngine.down = true
+		for _, id := range slices.Sorted(maps.Keys(silentEngine.queries)) {
+			silentEngine.endQuery(id, unknownQueryAnswer, true)
 		}
 	})
 	const count = 150
-	answers = make([]float64, count)
+	lateness = make([]float64, count)
 	for i := range count {
-		at, limit := float64(i)*200+60+w.rand.Float64()*100, 1500+w.rand.Float64()*8000
-		if i >= count-10 { // long after: keys have come free
+		at, limit := float64(i)*200+60+sim.rand.Float64()*100, 1500+sim.rand.Float64()*8000
+		if i >= count-10 { // much later, when no earlier attempt may run and no order key may be blocked any more
 			at, limit = 300e3+float64(i)*1000, 15000
 		}
-		key := fmt.Sprintf("k%d", w.rand.Intn(4))
-		leaves := w.rand.Intn(12) == 0
-		w.at(at, func() {
+		key := fmt.Sprintf("k%d", sim.rand.Intn(4))
+		disconnects := sim.rand.Intn(12) == 0
+		sim.schedule(at, func() {
 			id := fmt.Sprintf("%016x", i+1)
-			s.seq[id], s.keyOf[id] = i+1, key
-			c := &caller{w: w}
-			c.h = w.n.Accept(0)
-			c.h.Opened(c)
-			c.answer = func(string, bool) {
-				c.answer = func(_ string, ok bool) {
+			network.arrivalOrder[id], network.orderKeys[id] = i+1, key
+			c := &simulatedClient{sim: sim}
+			c.handler = sim.node.Accept(0)
+			c.handler.Opened(c)
+			c.onAnswer = func(string, bool) {
+				c.onAnswer = func(_ string, ok bool) {
 					if ok {
 						served++
 					}
-					answers[i] = w.now - start - at - limit
-					if answers[i] == 0 {
-						answers[i] = -1
+					lateness[i] = sim.now - startTime - at - limit
+					if lateness[i] == 0 {
+						lateness[i] = -1
 					}
 				}
-				text := fmt.Sprintf("/* verb=load,txn=%s,limit=%.0f,team=acme,unique=u%d,item=%s,cpu=900,heap_mb=90 */ INSERT INTO sales_17.orders SELECT %d FROM staging.b", id, limit, i, key, i)
-				c.h.Received(packet("Q", text+"\x00"))
+				text := fmt.Sprintf(
+					"/* verb=load,txn=%s,limit=%.0f,team=acme,unique=u%d,item=%s,cpu=900,heap_mb=90 */ INSERT INTO sales_17.orders SELECT %d FROM staging.b",
+					id, limit, i, key, i)
+				c.handler.Received(pgMessage("Q", text+"\x00"))
 			}
-			c.h.Received(append(binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint32(nil, 17), 3<<16), "user\x00app\x00\x00"[:9]...))
-			if leaves && i < count-10 {
-				w.at(w.rand.Float64()*2000, func() {
-					if answers[i] == 0 {
-						answers[i] = -1
-						c.h.Closed(link.ConnReset)
+			c.handler.Received(append(binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint32(nil, 17), 3<<16),
+				"user\x00app\x00\x00"[:9]...))
+			if disconnects && i < count-10 {
+				sim.schedule(sim.rand.Float64()*2000, func() {
+					if lateness[i] == 0 {
+						lateness[i] = -1
+						c.handler.Closed(link.ConnReset)
 					}
 				})
 			}
 		})
 	}
-	w.until = start + 500e3
-	w.at(500e3, func() {})
-	w.run()
-	return s, answers, served
+	sim.endTime = startTime + 500e3
+	sim.schedule(500e3, func() {})
+	sim.run()
+	return network, lateness, served
 }
 
-// Whatever the network and the worker groups do, these see requests of a key in their order and one at a time, one
-// attempt of a request at a time, and a rest after one that was given up; and clients have their answer in time.
-func TestOrderInStorms(t *testing.T) {
+// With any faults of the network and the worker groups, requests of an order key run in order and one at a time, each request has
+// one attempt at a time, the order key settles after a cancelled attempt, and clients are answered in time. Guards against
+// attempts that are taken for ended while they may still run, and against order keys that stay blocked.
+func TestOrderKeysUnderFaults(t *testing.T) {
 	total := 0
 	for seed := int64(1); seed <= 40; seed++ {
-		s, answers, served := storm(t, seed)
-		for i, b := range s.broke {
+		network, lateness, served := runWithFaults(t, seed)
+		for i, violation := range network.violations {
 			if i < 3 {
-				t.Errorf("seed %d: %s", seed, b)
+				t.Errorf("seed %d: %s", seed, violation)
 			}
 		}
-		for i, late := range answers {
+		for i, late := range lateness {
 			if late == 0 || late > 50 {
 				t.Errorf("seed %d: request %d: answered %.0f ms after its limit (0: never)", seed, i+1, late)
 			}
 		}
 		total += served
-		for i := len(answers) - 10; i < len(answers); i++ {
-			if answers[i] > -1000 {
-				t.Errorf("seed %d: request %d waited till the end: its key is blocked", seed, i+1)
+		for i := len(lateness) - 10; i < len(lateness); i++ {
+			if lateness[i] > -1000 {
+				t.Errorf("seed %d: request %d waited until its limit: its order key is blocked", seed, i+1)
 			}
 		}
-		if s.n.Coordinator.Unanswered() != 0 || s.n.out() != 0 {
-			t.Errorf("seed %d: %d answers owed, %d attempts out at the end", seed, s.n.Coordinator.Unanswered(), s.n.out())
+		if network.node.Coordinator.Unanswered() != 0 || network.node.inFlight() != 0 {
+			t.Errorf("seed %d: %d requests without an answer, %d attempts in flight at the end", seed,
+				network.node.Coordinator.Unanswered(), network.node.inFlight())
 		}
 	}
-	if total < 2000 { // of 6,000; waiting for all would keep every rule
+	if total < 2000 { // of 6,000; a coordinator that lets all requests wait would break no other rule
 		t.Errorf("only %d requests were served", total)
 	}
 }
--- a/internal/node/play_test.go
+++ b/internal/node/play_test.go
@@ -17,157 +17,162 @@
 	"thymeway/internal/link"
 )
 
-var update = flag.Bool("update", false, "write what the program answers into the exchanges")
+var update = flag.Bool("update", false, "overwrite the recorded exchanges with the program's present output")
 
-// A player plays one exchange: lines of input, each followed by what the program does, indented.
-type player struct {
-	t       *testing.T
-	now     float64
-	queue   *deadline.Queue
-	n       *Node
-	out     []string
-	clients map[string]*side
-	dials   []*side
-	woken   bool
-	keys    map[string][]byte
-	conf    []byte
+// scriptRunner plays one recorded exchange: lines of input, each followed by the resulting output of the program, indented.
+type scriptRunner struct {
+	t             *testing.T
+	now           float64
+	deadlines     *deadline.Queue
+	node          *Node
+	output        []string
+	clients       map[string]*scriptedConn // by name
+	engineConns   []*scriptedConn          // named w1, w2, ...
+	wakeRequested bool
+	cancelKeys    map[string][]byte // the BackendKeyData of PostgreSQL sessions, by the client's name
+	config        []byte            // the configuration file, which "reload" modifies
 }
 
-// side is the far side of a connection.
-type side struct {
-	p      *player
-	name   string
-	h      link.Handler
-	client bool
-	web    bool // a client that speaks HTTP
-	closed bool
-	unread bool // bytes wait that the program was not given
-	rest   []byte
+// scriptedConn is a connection whose other side, a client or an engine, is played by the script.
+type scriptedConn struct {
+	runner    *scriptRunner
+	name      string
+	handler   link.Handler
+	isClient  bool
+	http      bool // a client of the ClickHouse HTTP interface
+	closed    bool
+	hasUnread bool   // received bytes have not been passed to the program yet
+	unparsed  []byte // output to a PostgreSQL client that is not a whole message yet
 }
 
-func (s *side) Write(b []byte) {
+// Write records the program's output: an HTTP message on one line, or each PostgreSQL message on a line of its own.
+func (s *scriptedConn) Write(b []byte) {
 	if s.closed {
 		return
 	}
-	if s.web {
-		s.p.say("%s< %s", s.name, strings.NewReplacer("\r\n", " | ", "\n", `\n`, "\t", `\t`).Replace(string(b)))
+	if s.http {
+		s.runner.print("%s< %s", s.name, strings.NewReplacer("\r\n", " | ", "\n", `\n`, "\t", `\t`).Replace(string(b)))
 		return
 	}
-	if !s.client {
-		s.p.say("%s< %s", s.name, strings.NewReplacer("\r\n", " | ", "\n", `\n`).Replace(string(b)))
+	if !s.isClient {
+		s.runner.print("%s< %s", s.name, strings.NewReplacer("\r\n", " | ", "\n", `\n`).Replace(string(b)))
 		return
 	}
-	s.rest = append(s.rest, b...)
-	for len(s.rest) > 0 {
-		if s.rest[0] == 'N' && len(s.rest) == 1 {
-			s.p.say("%s< no encryption", s.name)
-			s.rest = nil
+	s.unparsed = append(s.unparsed, b...)
+	for len(s.unparsed) > 0 {
+		if s.unparsed[0] == 'N' && len(s.unparsed) == 1 {
+			s.runner.print("%s< no encryption", s.name)
+			s.unparsed = nil
 			return
 		}
-		n := 1 + int(binary.BigEndian.Uint32(s.rest[1:]))
-		s.message(s.rest[0], s.rest[5:n])
-		s.rest = s.rest[n:]
+		size := 1 + int(binary.BigEndian.Uint32(s.unparsed[1:]))
+		s.printMessage(s.unparsed[0], s.unparsed[5:size])
+		s.unparsed = s.unparsed[size:]
 	}
 }
 
-func (s *side) message(kind byte, body []byte) {
+// printMessage records a PostgreSQL message. ParameterStatus messages are omitted.
+func (s *scriptedConn) printMessage(kind byte, body []byte) {
 	switch kind {
 	case 'S':
 		return
 	case 'K':
-		s.p.keys[s.name] = append([]byte(nil), body...)
-		s.p.say("%s< K", s.name)
+		s.runner.cancelKeys[s.name] = append([]byte(nil), body...)
+		s.runner.print("%s< K", s.name)
 	case 'E':
 		text := ""
-		for _, f := range strings.Split(strings.Trim(string(body), "\x00"), "\x00") {
-			if f[0] != 'V' {
-				text += " " + f[1:]
+		for _, field := range strings.Split(strings.Trim(string(body), "\x00"), "\x00") {
+			if field[0] != 'V' {
+				text += " " + field[1:]
 			}
 		}
-		s.p.say("%s< E%s", s.name, text)
+		s.runner.print("%s< E%s", s.name, text)
 	case 'D':
 		var cols []string
 		for b := body[2:]; len(b) > 0; {
-			n := 4 + binary.BigEndian.Uint32(b)
-			cols = append(cols, string(b[4:n]))
-			b = b[n:]
+			end := 4 + binary.BigEndian.Uint32(b)
+			cols = append(cols, string(b[4:end]))
+			b = b[end:]
 		}
-		s.p.say("%s< D %s", s.name, strings.Join(cols, "|"))
+		s.runner.print("%s< D %s", s.name, strings.Join(cols, "|"))
 	case 'C':
-		s.p.say("%s< C %s", s.name, strings.Trim(string(body), "\x00"))
+		s.runner.print("%s< C %s", s.name, strings.Trim(string(body), "\x00"))
 	default:
-		s.p.say("%s< %c", s.name, kind)
+		s.runner.print("%s< %c", s.name, kind)
 	}
 }
 
-func (s *side) Close() {
+func (s *scriptedConn) Close() {
 	if !s.closed {
 		s.closed = true
-		s.p.say("%s closed by the program", s.name)
+		s.runner.print("%s closed by the program", s.name)
 	}
 }
 
-func (s *side) Pending() int { return 0 }
+func (s *scriptedConn) Pending() int { return 0 }
 
-func (s *side) Idle() bool { return !s.unread }
+func (s *scriptedConn) Idle() bool { return !s.hasUnread }
 
-func (s *side) CloseWrite() {
+func (s *scriptedConn) CloseWrite() {
 	if !s.closed {
-		s.p.say("%s ended on the program's side", s.name)
+		s.runner.print("%s ended on the program's side", s.name)
 	}
 }
 
-func (s *side) Abort() {
+func (s *scriptedConn) Abort() {
 	if !s.closed {
 		s.closed = true
-		s.p.say("%s aborted by the program", s.name)
+		s.runner.print("%s aborted by the program", s.name)
 	}
 }
 
-func (p *player) say(format string, args ...any) {
-	p.out = append(p.out, "  "+fmt.Sprintf(format, args...))
+// print adds a line to the program's output.
+func (r *scriptRunner) print(format string, args ...any) {
+	r.output = append(r.output, "  "+fmt.Sprintf(format, args...))
 }
 
-// Dial takes note of a connection that the program wants.
-func (p *player) Dial(addr string, h link.Handler) {
-	s := &side{p: p, name: fmt.Sprintf("w%d", len(p.dials)+1), h: h}
-	p.dials = append(p.dials, s)
-	p.say("%s dial %s", s.name, addr)
+// Dial records a connection that the program opens. The script's "up" or "end" decides its fate.
+func (r *scriptRunner) Dial(addr string, h link.Handler) {
+	conn := &scriptedConn{runner: r, name: fmt.Sprintf("w%d", len(r.engineConns)+1), handler: h}
+	r.engineConns = append(r.engineConns, conn)
+	r.print("%s dial %s", conn.name, addr)
 }
 
-// settle runs turns until nothing asks for one.
-func (p *player) settle() {
+// runTurns runs event-loop turns until none is requested and no deadline is due.
+func (r *scriptRunner) runTurns() {
 	for i := 0; ; i++ {
 		if i > 100 {
-			p.t.Fatal("the program asks for turns without end")
+			r.t.Fatal("more than 100 event-loop turns at the same time")
 		}
-		p.woken = false
-		p.queue.RunDue(p.now)
-		p.n.Coordinator.Turn()
-		if at, ok := p.queue.Next(); !p.woken && (!ok || at > p.now) {
+		r.wakeRequested = false
+		r.deadlines.RunDue(r.now)
+		r.node.Coordinator.Turn()
+		if at, ok := r.deadlines.Next(); !r.wakeRequested && (!ok || at > r.now) {
 			return
 		}
 	}
 }
 
-// advance goes to a time, stopping at each deadline on the way.
-func (p *player) advance(to float64) {
+// advanceTo advances the time to target and runs turns at each deadline on the way.
+func (r *scriptRunner) advanceTo(target float64) {
 	for {
-		at, ok := p.queue.Next()
-		if !ok || at > to {
+		at, ok := r.deadlines.Next()
+		if !ok || at > target {
 			break
 		}
-		p.now = max(p.now, at)
-		before := len(p.out)
-		p.settle()
-		if len(p.out) > before { // say when it happened
-			p.out = append(p.out[:before], append([]string{fmt.Sprintf("  (%.0f)", p.now-start)}, p.out[before:]...)...)
+		r.now = max(r.now, at)
+		before := len(r.output)
+		r.runTurns()
+		if len(r.output) > before { // insert the time of the output
+			r.output = append(r.output[:before],
+				append([]string{fmt.Sprintf("  (%.0f)", r.now-startTime)}, r.output[before:]...)...)
 		}
 	}
-	p.now = to
+	r.now = target
 }
 
-const start = 1.7e12
+// startTime is the time in ms at which tests begin. Scripts give times relative to it.
+const startTime = 1.7e12
 
 func unquote(t *testing.T, s string) string {
 	v, err := strconv.Unquote(s)
@@ -177,75 +182,77 @@
 	return v
 }
 
-func packet(kind string, body string) []byte {
+// pgMessage encodes a PostgreSQL message.
+func pgMessage(kind string, body string) []byte {
 	return append(append([]byte(kind), binary.BigEndian.AppendUint32(nil, uint32(len(body)+4))...), body...)
 }
 
-// play does one line of input: NAME VERB REST.
-func (p *player) play(line string) {
-	f := strings.SplitN(line, " ", 3)
-	for len(f) < 3 {
-		f = append(f, "")
+// playLine plays one line of input, NAME VERB ARGUMENTS. Names beginning with w are connections to engines, those beginning with
+// h are clients of the ClickHouse HTTP interface if it is configured, and others are PostgreSQL clients.
+func (r *scriptRunner) playLine(line string) {
+	fields := strings.SplitN(line, " ", 3)
+	for len(fields) < 3 {
+		fields = append(fields, "")
 	}
-	name, verb, rest := f[0], f[1], f[2]
+	name, verb, args := fields[0], fields[1], fields[2]
 	if name == "at" {
 		ms, _ := strconv.ParseFloat(verb, 64)
-		p.advance(start + ms)
+		r.advanceTo(startTime + ms)
 		return
 	}
 	if name == "with" || name == "own" {
 		return
 	}
 	if name == "leave" {
-		p.n.Leave(func() { p.say("stopped") })
+		r.node.ShutDown(func() { r.print("stopped") })
 		return
 	}
 	if name == "board" {
-		p.n.Watch.Start()
+		r.node.Discovery.Start()
 		return
 	}
-	if name == "reload" { // KEY VALUE, both as they stand in the file
-		p.n.Reload(func() (config.Config, error) {
+	if name == "reload" { // KEY VALUE, both as written in the configuration file
+		r.node.Reload(func() (config.Config, error) {
 			key := regexp.MustCompile(regexp.QuoteMeta(verb) + `: "[^"]*"`)
-			return config.Parse(key.ReplaceAll(p.conf, []byte(verb+": "+rest)), "", "")
+			return config.Parse(key.ReplaceAll(r.config, []byte(verb+": "+args)), "", "")
 		})
 		return
 	}
-	s := p.clients[name]
+	conn := r.clients[name]
 	if strings.HasPrefix(name, "w") {
 		i, _ := strconv.Atoi(name[1:])
-		if i < 1 || i > len(p.dials) {
-			p.t.Fatalf("%s: no such connection", line)
+		if i < 1 || i > len(r.engineConns) {
+			r.t.Fatalf("%s: no such connection", line)
 		}
-		s = p.dials[i-1]
-	} else if s == nil {
-		s = &side{p: p, name: name, h: p.n.Sessions.Accept(), client: true}
-		if p.n.Front != nil && strings.HasPrefix(name, "h") {
-			s.h, s.web = p.n.Front.Accept(), true
+		conn = r.engineConns[i-1]
+	} else if conn == nil {
+		conn = &scriptedConn{runner: r, name: name, handler: r.node.Postgres.Accept(), isClient: true}
+		if r.node.ClickHouse != nil && strings.HasPrefix(name, "h") {
+			conn.handler, conn.http = r.node.ClickHouse.Accept(), true
 		}
-		p.clients[name] = s
-		s.h.Opened(s)
+		r.clients[name] = conn
+		conn.handler.Opened(conn)
 	}
 	send := func(b []byte) {
-		if !s.closed && len(b) > 0 {
-			s.h.Received(b)
+		if !conn.closed && len(b) > 0 {
+			conn.handler.Received(b)
 		}
 	}
 	switch verb {
 	case "start":
 		send(append(binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint32(nil, 17), 3<<16), "user\x00app\x00\x00"[:9]...))
-	case "query": // a moment after what was before, as an engine's connection pauses after an answer
-		p.advance(p.now + 5)
-		send(packet("Q", rest+"\x00"))
+	case "query": // after a pause of 5 ms, since a connection to an engine is reused only some ms after an answer
+		r.advanceTo(r.now + 5)
+		send(pgMessage("Q", args+"\x00"))
 	case "flood": // COUNT QUERY
-		n, text, _ := strings.Cut(rest, " ")
+		n, text, _ := strings.Cut(args, " ")
 		count, _ := strconv.Atoi(n)
-		send(bytes.Repeat(packet("Q", text+"\x00"), count))
+		send(bytes.Repeat(pgMessage("Q", text+"\x00"), count))
 	case "GET", "POST", "HEAD", "PUT": // TARGET header=value ... "body"
-		p.advance(p.now + 5)
-		head, body, _ := strings.Cut(rest, ` "`)
+		r.advanceTo(r.now + 5)
+		head, body, _ := strings.Cut(args, ` "`)
 		if body != "" {
-			body = unquote(p.t, `"`+body)
+			body = unquote(r.t, `"`+body)
 		}
 		words := strings.Fields(head)
 		text := verb + " " + words[0] + " HTTP/1.1\r\nHost: x\r\n"
@@ -256,34 +263,34 @@
 			text += fmt.Sprintf("Content-Length: %d\r\n", len(body))
 		}
 		send([]byte(text + "\r\n" + body))
-	case "slowly": // the same, a byte at a time
-		for _, c := range packet("Q", rest+"\x00") {
+	case "slowly": // a query, one byte at a time
+		for _, c := range pgMessage("Q", args+"\x00") {
 			send([]byte{c})
 		}
 	case "raw":
-		send([]byte(unquote(p.t, rest)))
+		send([]byte(unquote(r.t, args)))
 	case "cancel":
-		send(append(binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint32(nil, 16), 80877102), p.keys[rest]...))
+		send(append(binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint32(nil, 16), 80877102), r.cancelKeys[args]...))
 	case "unread":
-		s.unread = true
+		conn.hasUnread = true
 	case "up":
-		s.h.Opened(s)
+		conn.handler.Opened(conn)
 	case "end":
 		for e := link.Served; e <= link.ClosedLocally; e++ {
-			if e.String() == rest && !s.closed {
-				s.closed = true
-				s.h.Closed(e)
+			if e.String() == args && !conn.closed {
+				conn.closed = true
+				conn.handler.Closed(e)
 			}
 		}
-	case "endless": // HEADER LINE, without an end
+	case "endless": // HEADER LINE, repeated until the program closes the connection
 		send([]byte("HTTP/1.1 200 OK\r\n"))
-		for i := 0; i < 100000 && !s.closed; i++ {
-			send([]byte(rest + "\r\n"))
+		for i := 0; i < 100000 && !conn.closed; i++ {
+			send([]byte(args + "\r\n"))
 		}
 	case "reply": // STATUS header=value ... "body"
-		head, body, _ := strings.Cut(rest, ` "`)
+		head, body, _ := strings.Cut(args, ` "`)
 		if body != "" {
-			body = unquote(p.t, `"`+body)
+			body = unquote(r.t, `"`+body)
 		}
 		words := strings.Fields(head)
 		text := "HTTP/1.1 " + words[0] + " -\r\n"
@@ -291,16 +298,16 @@
 			text += strings.Replace(h, "=", ": ", 1) + "\r\n"
 		}
 		send([]byte(text + fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(body), body)))
-		if words[0] == "204" || words[0][0] == '5' { // the connection pauses
-			p.settle()
-			p.advance(p.now + 5)
+		if words[0] == "204" || words[0][0] == '5' { // pass the time for which the connection is not reused
+			r.runTurns()
+			r.advanceTo(r.now + 5)
 		}
 	default:
-		p.t.Fatalf("%s: unknown", line)
+		r.t.Fatalf("%s: unknown verb", line)
 	}
 }
 
-// TestExchanges plays each file of testdata and compares it with what the program answers now.
+// TestExchanges plays the input of each file in testdata and compares the program's output with the recorded one.
 func TestExchanges(t *testing.T) {
 	conf, err := os.ReadFile("../../examples/config.json")
 	if err != nil {
@@ -308,7 +315,7 @@
 	}
 	files, _ := filepath.Glob("testdata/*.txt")
 	if len(files) == 0 {
-		t.Fatal("no exchanges")
+		t.Fatal("no exchanges found in testdata")
 	}
 	for _, file := range files {
 		t.Run(strings.TrimSuffix(filepath.Base(file), ".txt"), func(t *testing.T) {
@@ -317,24 +324,29 @@
 				t.Fatal(err)
 			}
 			conf := conf
-			if m := regexp.MustCompile(`(?m)^with (.*): (.*)$`).FindSubmatch(want); m != nil { // a key of the file and its value
-				conf = regexp.MustCompile(regexp.QuoteMeta(string(m[1]))+`: [^,}]*`).ReplaceAll(conf, append(append(m[1], ": "...), m[2]...))
+			// A "with" line replaces the value of a key of the configuration file.
+			if m := regexp.MustCompile(`(?m)^with (.*): (.*)$`).FindSubmatch(want); m != nil {
+				conf = regexp.MustCompile(regexp.QuoteMeta(string(m[1]))+`: [^,}]*`).ReplaceAll(conf,
+					append(append(m[1], ": "...), m[2]...))
 			}
 			c, err := config.Parse(conf, "", "")
 			if err != nil {
 				t.Fatal(err)
 			}
-			if own := regexp.MustCompile(`(?m)^own (.*)$`).FindAllSubmatch(want, -1); own != nil { // lines of our own settings
-				var text []byte
-				for _, m := range own {
-					text = append(append(text, m[1]...), '\n')
+			// "own" lines hold the file of local settings.
+			if localLines := regexp.MustCompile(`(?m)^own (.*)$`).FindAllSubmatch(want, -1); localLines != nil {
+				var settings []byte
+				for _, m := range localLines {
+					settings = append(append(settings, m[1]...), '\n')
 				}
-				if c.Local, err = config.ParseLocal(text); err != nil {
+				if c.Local, err = config.ParseLocal(settings); err != nil {
 					t.Fatal(err)
 				}
 			}
-			p := &player{t: t, now: start, queue: deadline.New(), clients: map[string]*side{}, keys: map[string][]byte{}, conf: conf}
-			p.n, err = New(c, p, p.queue, func() float64 { return p.now }, func() { p.woken = true })
+			runner := &scriptRunner{t: t, now: startTime, deadlines: deadline.New(), clients: map[string]*scriptedConn{},
+				cancelKeys: map[string][]byte{}, config: conf}
+			runner.node, err = New(c, runner, runner.deadlines, func() float64 { return runner.now },
+				func() { runner.wakeRequested = true })
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -342,19 +354,19 @@
 				if strings.HasPrefix(line, "  ") {
 					continue
 				}
-				p.out = append(p.out, line)
+				runner.output = append(runner.output, line)
 				if line != "" && line[0] != '#' {
-					p.play(line)
-					p.settle()
+					runner.playLine(line)
+					runner.runTurns()
 				}
 			}
-			got := strings.Join(p.out, "\n") + "\n"
+			got := strings.Join(runner.output, "\n") + "\n"
 			if *update {
 				if err := os.WriteFile(file, []byte(got), 0o644); err != nil {
 					t.Fatal(err)
 				}
 			} else if got != string(want) {
-				t.Errorf("the program answers otherwise:\n%s", got)
+				t.Errorf("the output differs from the recorded exchange:\n%s", got)
 			}
 		})
 	}
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -10,26 +10,30 @@
 	"thymeway/internal/deadline"
 )
 
-// A new board was missed where its configuration could not be opened for a moment.
-func TestReloadIsLostWhenFileCannotBeOpenedForAMoment(t *testing.T) {
+// Reload reads the configuration again after a temporary error. Otherwise a new address of the discovery service would be
+// missed, because the request to reload is made only once.
+func TestReloadIsRepeatedAfterTransientError(t *testing.T) {
 	for _, fault := range []error{syscall.EMFILE, syscall.ENFILE, syscall.EIO} {
 		c := conftest.Example(t)
-		p := &player{t: t, now: start, queue: deadline.New(), clients: map[string]*side{}, keys: map[string][]byte{}}
+		runner := &scriptRunner{t: t, now: startTime, deadlines: deadline.New(), clients: map[string]*scriptedConn{},
+			cancelKeys: map[string][]byte{}}
 		var err error
-		if p.n, err = New(c, p, p.queue, func() float64 { return p.now }, func() { p.woken = true }); err != nil {
+		if runner.node, err = New(c, runner, runner.deadlines, func() float64 { return runner.now },
+			func() { runner.wakeRequested = true }); err != nil {
 			t.Fatal(err)
 		}
 		readings := 0
-		p.n.Reload(func() (config.Config, error) {
+		runner.node.Reload(func() (config.Config, error) {
 			if readings++; readings < 4 {
 				return config.Config{}, fmt.Errorf("EDGE_CONFIG: %w", fault)
 			}
 			c.DiscoveryAddr = "127.0.0.1:8600"
 			return c, nil
 		})
-		p.advance(start + 1000)
-		if readings != 4 || p.n.Watch.Addr != "127.0.0.1:8600" {
-			t.Errorf("%v: %d readings, board %s", fault, readings, p.n.Watch.Addr)
+		runner.advanceTo(startTime + 1000)
+		if readings != 4 || runner.node.Discovery.Addr != "127.0.0.1:8600" {
+			t.Errorf("%v: the configuration was read %d times, the discovery service is %s", fault, readings,
+				runner.node.Discovery.Addr)
 		}
 	}
 }
