--- a/internal/chengine/fleet.go
+++ b/internal/chengine/fleet.go
@@ -1,5 +1,5 @@
-// Package chengine runs attempts on engines that speak ClickHouse's HTTP interface. There a connection carries a query to
-// its end; what became of one whose connection broke is asked of the engine by its query_id.
+// Package chengine runs attempts on engines that speak ClickHouse's HTTP interface. Each query occupies one connection until
+// its answer is complete. If that connection breaks, the engine is asked by query_id whether the query is still running.
 package chengine
 
 import (
@@ -22,104 +22,108 @@
 	"thymeway/internal/tally"
 )
 
-// Limits and pauses, in ms.
+// Times are in ms.
 const (
-	controlWithin = 500.0    // for the answer to KILL QUERY or to what runs
-	probeWithin   = 250.0    // for a probe
-	askPause      = 100.0    // between two questions whether a query still runs
-	answerSlack   = 200.0    // beyond the time that a query may take, for its answer to come
-	progressEvery = 500      // between two lines of progress, as the engine is told
-	mostControl   = 64 << 10 // bytes of an answer to such a question
-	tooMany       = 202      // TOO_MANY_SIMULTANEOUS_QUERIES: turned away unseen
+	controlTimeout     = 500.0    // for the answer to a control query: KILL QUERY, or whether a query is running
+	probeTimeout       = 250.0    // for the answer to a probe
+	pollPause          = 100.0    // between two checks whether a query is still running
+	answerSlack        = 200.0    // after the time limit of a query, for its answer to arrive
+	progressInterval   = 500      // between two progress headers, as requested from the engine
+	maxControlBytes    = 64 << 10 // of the answer to a control query or probe
+	codeTooManyQueries = 202      // TOO_MANY_SIMULTANEOUS_QUERIES: the query was refused and has not run
 )
 
-// Fleet is all engines of this kind that were ever named.
+// Fleet sends attempts to all listed engines that speak ClickHouse's HTTP interface. It implements coordinator.Backend.
 type Fleet struct {
-	Dialer     link.Dialer
-	Deadlines  *deadline.Queue
-	Now        func() float64
-	Watcher    coordinator.AttemptListener
-	Faults     *tally.FaultLog
-	ConnIdle   float64 // ms for which an unused connection is kept
-	MostWires  int
-	MostResult int                                       // bytes of one result
-	MostHeld   int                                       // and of all that are coming; 0: no bound
-	Login      func(kind string) (user, password string) // of engines of a kind; nil or "": none is told
+	Dialer           link.Dialer
+	Deadlines        *deadline.Queue
+	Now              func() float64
+	Watcher          coordinator.AttemptListener
+	Faults           *tally.FaultLog
+	ConnIdleTimeout  float64 // ms after which an idle connection is closed
+	MaxConns         int     // limit over all engines
+	MaxResultBytes   int     // of one result
+	MaxBufferedBytes int     // of all results being received; 0: no limit
+	// Credentials returns the login for engines of a kind. If it is nil or returns no user, none is sent.
+	Credentials func(kind string) (user, password string)
 
-	engines  directory.Directory[*engine]
-	attempts map[key]*attempt
-	wires    int
-	held     int // bytes of answers that are coming
+	engines       directory.Directory[*engine]
+	attempts      map[attemptKey]*attempt
+	conns         int
+	bufferedBytes int // of all answers being received
 }
 
-type key struct {
-	id string
-	n  int
+// attemptKey identifies an attempt by its request and its number within the request.
+type attemptKey struct {
+	request string
+	number  int
 }
 
-// Know takes an entry of the list.
+// Update adds or updates a listed engine. If it is not healthy, attempts that were not yet sent to it are ended.
 func (f *Fleet) Update(m coordinator.ListedEngine) {
 	if e, known := f.engines.Get(m.ID); known && m.Status != choice.Healthy {
-		f.withdraw(e)
+		f.finishUnsent(e)
 	}
-	f.engines.Update(m.ID, m.Addr, m.Status == choice.Removed, func(p directory.Record) *engine { return &engine{f: f, Record: p, kind: m.Kind} })
+	f.engines.Update(m.ID, m.Addr, m.Status == choice.Removed,
+		func(record directory.Record) *engine { return &engine{fleet: f, Record: record, kind: m.Kind} })
 }
 
-// Only takes a whole list: engines that it does not name have gone.
+// RemoveUnlisted processes a complete list: engines that it does not name are removed.
 func (f *Fleet) RemoveUnlisted(named map[string]bool) {
 	for _, e := range f.engines.All() {
 		if !named[e.ID] {
-			f.withdraw(e)
+			f.finishUnsent(e)
 		}
 	}
 	f.engines.RemoveUnlisted(named)
 }
 
-// withdraw ends the attempts that still wait for a connection to an engine: it takes nothing new.
-func (f *Fleet) withdraw(e *engine) {
+// finishUnsent ends the attempts that still wait for a connection to an engine, as the engine accepts no new queries.
+func (f *Fleet) finishUnsent(e *engine) {
 	var waiting []*attempt
 	for _, a := range f.attempts {
-		if a.e == e && !a.written {
+		if a.engine == e && !a.written {
 			waiting = append(waiting, a)
 		}
 	}
-	slices.SortFunc(waiting, func(a, b *attempt) int { return cmp.Compare(a.query, b.query) })
+	slices.SortFunc(waiting, func(a, b *attempt) int { return cmp.Compare(a.queryID, b.queryID) })
 	for _, a := range waiting {
 		a.finish(link.Expired)
 	}
 }
 
-// Out is the number of attempts that may run on some engine.
-func (f *Fleet) Out() int { return len(f.attempts) }
+// InFlight is the number of attempts that have not ended.
+func (f *Fleet) InFlight() int { return len(f.attempts) }
 
-// Probe asks whether an engine answers.
+// Probe checks whether an engine answers.
 func (f *Fleet) Probe(id string) {
 	e, _ := f.engines.Get(id)
-	sent := f.Now()
-	tell := func(a *answer, why link.EndReason) {
-		p := coordinator.Outcome{Engine: id, EndReason: why, Duration: f.Now() - sent}
+	startedAt := f.Now()
+	report := func(a *answer, reason link.EndReason) {
+		outcome := coordinator.Outcome{Engine: id, EndReason: reason, Duration: f.Now() - startedAt}
 		if a != nil && a.Status != 200 {
-			p.EndReason = link.Full
+			outcome.EndReason = link.Full
 		}
-		f.Watcher.ProbeEnded(p)
+		f.Watcher.ProbeEnded(outcome)
 	}
 	if e == nil || e.Addr == "" {
-		tell(nil, link.Unreachable)
+		report(nil, link.Unreachable)
 		return
 	}
-	e.start(&call{build: func() []byte { return e.request("GET", "/ping", nil, "") }, within: probeWithin, most: mostControl, done: tell})
+	e.start(&call{build: func() []byte { return e.buildRequest("GET", "/ping", nil, "") },
+		timeout: probeTimeout, maxBodyBytes: maxControlBytes, done: report})
 }
 
-// request makes the bytes of a call.
-func (e *engine) request(method, target string, body []byte, extra string) []byte {
+// buildRequest returns the bytes of an HTTP request; headers holds complete header lines.
+func (e *engine) buildRequest(method, target string, body []byte, headers string) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n", method, target, e.Addr)
-	if e.f.Login != nil {
-		if user, password := e.f.Login(e.kind); user != "" {
+	if e.fleet.Credentials != nil {
+		if user, password := e.fleet.Credentials(e.kind); user != "" {
 			fmt.Fprintf(&b, "X-ClickHouse-User: %s\r\nX-ClickHouse-Key: %s\r\n", user, password)
 		}
 	}
-	b.WriteString(extra)
+	b.WriteString(headers)
 	if method == "POST" {
 		fmt.Fprintf(&b, "Content-Length: %d\r\n", len(body))
 	}
@@ -128,312 +132,320 @@
 	return b.Bytes()
 }
 
-// attempt is one run of a query on an engine.
+// attempt is one run of a query on an engine, from Send to its reported end.
 type attempt struct {
 	coordinator.Attempt
-	f         *Fleet
-	e         *engine
-	query     string // its query_id
-	sent      float64
-	written   bool
-	call      *call // the query's own
-	control   *call // a question about it
-	cancelled bool
-	withdrawn bool // it was too late to write it as its connection was there
-	lost      bool // its connection broke: whether it runs is asked
-	over      bool
-	end       link.EndReason // how it ends once it is known not to run
-	outcome   coordinator.Outcome
-	budget    deadline.Entry
-	again     deadline.Entry
+	fleet         *Fleet
+	engine        *engine
+	queryID       string // sent to the engine as query_id
+	startedAt     float64
+	written       bool  // the query was written to a connection
+	queryCall     *call // carries the query
+	controlCall   *call // the KILL QUERY or check in progress
+	cancelled     bool
+	tooLateToSend bool // the attempt had expired when its connection became available, so the query was not written
+	connLost      bool // the query's connection broke, so its answer can't arrive any more
+	finished      bool
+	endReason     link.EndReason // the reason to report once the query is known not to be running
+	outcome       coordinator.Outcome
+	waitTimer     deadline.Entry // fires when the wait for the attempt is over
+	retryTimer    deadline.Entry // fires for the next check whether the query is running
 }
 
 // Send starts an attempt.
-func (f *Fleet) Send(s coordinator.Attempt) {
-	e, _ := f.engines.Get(s.Engine)
-	a := &attempt{Attempt: s, f: f, e: e, sent: f.Now(), query: s.ID + "-" + strconv.Itoa(s.Number)}
+func (f *Fleet) Send(request coordinator.Attempt) {
+	e, _ := f.engines.Get(request.Engine)
+	a := &attempt{Attempt: request, fleet: f, engine: e, startedAt: f.Now(),
+		queryID: request.ID + "-" + strconv.Itoa(request.Number)}
 	a.outcome = coordinator.Outcome{Request: a.ID, Engine: a.Engine, Attempt: a.Number}
-	if a.e == nil || a.e.Addr == "" {
+	if a.engine == nil || a.engine.Addr == "" {
 		a.finish(link.Unreachable)
 		return
 	}
 	if f.attempts == nil {
-		f.attempts = map[key]*attempt{}
+		f.attempts = map[attemptKey]*attempt{}
 	}
-	f.attempts[key{a.ID, a.Number}] = a
-	a.e.attempts++
-	a.budget.Do = func() {
+	f.attempts[attemptKey{a.ID, a.Number}] = a
+	a.engine.attemptCount++
+	a.waitTimer.Do = func() {
 		switch {
 		case !a.written:
 			a.finish(link.Unreachable)
-		case f.Now() >= a.WaitUntil+answerSlack: // the engine has ended it by itself
-			a.finish(a.end)
-		default: // danger: what the engine has not confirmed may still run
+		case f.Now() >= a.WaitUntil+answerSlack: // max_execution_time is over: the engine has ended the query itself
+			a.finish(a.endReason)
+		default:
+			// Danger: without a confirmation from the engine the query may still be running. The client is answered now, and the
+			// end of the attempt is reported once it is proven.
 			f.Watcher.RequestOverdue(a.ID)
 			if !a.cancelled {
-				a.revoke(link.NoAnswer)
+				a.cancel(link.NoAnswer)
 			}
-			if !a.over {
-				f.Deadlines.Set(&a.budget, a.WaitUntil+answerSlack)
+			if !a.finished {
+				f.Deadlines.Set(&a.waitTimer, a.WaitUntil+answerSlack)
 			}
 		}
 	}
-	f.Deadlines.Set(&a.budget, a.WaitUntil)
-	a.call = &call{build: a.build, within: a.WaitUntil - f.Now() + answerSlack, most: f.MostResult, progress: a.progress, done: a.answered}
-	a.e.start(a.call)
+	f.Deadlines.Set(&a.waitTimer, a.WaitUntil)
+	a.queryCall = &call{build: a.buildQuery, timeout: a.WaitUntil - f.Now() + answerSlack, maxBodyBytes: f.MaxResultBytes,
+		progress: a.reportProgress, done: a.queryDone}
+	a.engine.start(a.queryCall)
 }
 
-// build makes the query's request. The engine ends it by itself when its time is over.
-func (a *attempt) build() []byte {
-	if a.withdrawn = a.Expired(a.f.Now()); a.withdrawn {
+// buildQuery returns the bytes of the query's request, or nil if the attempt has expired. It limits the execution time to what
+// is left now, so the engine ends an overdue query itself.
+func (a *attempt) buildQuery() []byte {
+	if a.tooLateToSend = a.Expired(a.fleet.Now()); a.tooLateToSend {
 		return nil
 	}
-	left := a.WaitUntil - a.f.Now()
+	remaining := a.WaitUntil - a.fleet.Now()
 	a.written = true
-	v := url.Values{}
-	set := func(name, value string) { v.Set(name, value) }
-	text, data, ch := []byte(a.Statement), []byte(nil), a.ClickHouse
-	if ch != nil {
-		for _, s := range ch.Settings {
+	parameters := url.Values{}
+	set := func(name, value string) { parameters.Set(name, value) }
+	text, data, clickHouse := []byte(a.Statement), []byte(nil), a.ClickHouse
+	if clickHouse != nil {
+		for _, s := range clickHouse.Settings {
 			set(s[0], s[1])
 		}
-		for _, p := range ch.Params {
+		for _, p := range clickHouse.Params {
 			set("param_"+p[0], p[1])
 		}
-		if ch.Database != "" {
-			set("database", ch.Database)
+		if clickHouse.Database != "" {
+			set("database", clickHouse.Database)
 		}
-		text, data = []byte(ch.Text), ch.Data
+		text, data = []byte(clickHouse.Text), clickHouse.Data
 	}
-	set("query_id", a.query)
+	set("query_id", a.queryID)
 	set("default_format", "TabSeparatedWithNamesAndTypes")
 	set("wait_end_of_query", "1")
 	set("send_progress_in_http_headers", "1")
-	set("http_headers_progress_interval_ms", strconv.Itoa(progressEvery))
-	set("max_execution_time", strconv.FormatFloat(math.Ceil(left)/1000, 'f', 3, 64))
+	set("http_headers_progress_interval_ms", strconv.Itoa(progressInterval))
+	set("max_execution_time", strconv.FormatFloat(math.Ceil(remaining)/1000, 'f', 3, 64))
 	if a.IdempotencyKey != "" {
 		set("insert_deduplication_token", a.IdempotencyKey)
 	}
 	if a.Grant > 0 {
 		set("max_memory_usage", strconv.FormatInt(int64(math.Ceil(a.Grant))<<20, 10))
 	}
-	if len(data) > 0 { // the text goes into the target, its data behind it
+	if len(data) > 0 { // the query goes into the URL, its data into the body
 		set("query", string(text))
 		text = data
 	}
-	return a.e.request("POST", "/?"+v.Encode(), text, "X-Class: "+a.Class+"\r\n")
+	return a.engine.buildRequest("POST", "/?"+parameters.Encode(), text, "X-Class: "+a.Class+"\r\n")
 }
 
-// progress is a line of it, as JSON.
-func (a *attempt) progress(value string) {
-	var p struct {
+// reportProgress passes on the JSON value of a progress header. Values that can't be parsed are ignored.
+func (a *attempt) reportProgress(value string) {
+	var rows struct {
 		Read  string `json:"read_rows"`
 		Total string `json:"total_rows_to_read"`
 	}
-	if json.Unmarshal([]byte(value), &p) != nil || a.over || a.cancelled {
+	if json.Unmarshal([]byte(value), &rows) != nil || a.finished || a.cancelled {
 		return
 	}
-	read, err1 := strconv.ParseFloat(p.Read, 64)
-	total, err2 := strconv.ParseFloat(p.Total, 64)
+	read, err1 := strconv.ParseFloat(rows.Read, 64)
+	total, err2 := strconv.ParseFloat(rows.Total, 64)
 	if err1 == nil && err2 == nil && total > 0 {
-		a.f.Watcher.NoticeReceived(a.ID, a.Engine, a.Number, choice.NoticeProgress, math.Max(0, math.Min(read/total, 1)))
+		a.fleet.Watcher.NoticeReceived(a.ID, a.Engine, a.Number, choice.NoticeProgress, math.Max(0, math.Min(read/total, 1)))
 	}
 }
 
-// answered is the end of the query's own call. Only a connection that never came up proves that nothing ran.
-func (a *attempt) answered(r *answer, why link.EndReason) {
-	a.call = nil
+// queryDone handles the end of the query's call. Only a connection that was never established proves that nothing ran.
+func (a *attempt) queryDone(response *answer, reason link.EndReason) {
+	a.queryCall = nil
 	switch {
-	case a.over:
-	case r != nil && a.cancelled:
-		a.finish(a.end)
-	case r != nil:
-		a.judge(r)
-	case a.withdrawn:
+	case a.finished:
+	case response != nil && a.cancelled:
+		a.finish(a.endReason)
+	case response != nil:
+		a.processAnswer(response)
+	case a.tooLateToSend:
 		a.finish(link.Expired)
-	case !a.written && (why == link.ConnRefused || why == link.NoDescriptor):
-		a.finish(why)
+	case !a.written && (reason == link.ConnRefused || reason == link.NoDescriptor):
+		a.finish(reason)
 	case !a.written:
 		a.finish(link.Unreachable)
-	case a.cancelled: // what asks goes on
-	case why == link.NoDescriptor: // its result does not fit beside the others
-		a.revoke(link.Failed)
-	case why == link.Malformed: // what came can't be read, and the query may run on
-		a.revoke(link.Malformed)
+	case a.cancelled: // the checks whether it is running go on
+	case reason == link.NoDescriptor: // the results being received exceed MaxBufferedBytes
+		a.cancel(link.Failed)
+	case reason == link.Malformed: // the answer can't be parsed, and the query may still be running
+		a.cancel(link.Malformed)
 	default:
-		a.lost, a.end = true, link.QueryLost
-		a.ask()
+		a.connLost, a.endReason = true, link.QueryLost
+		a.checkRunning()
 	}
 }
 
-// judge tells a good answer from a failed one. Danger: a fault that comes after the status stands in the body, where it
-// would pass for rows.
-func (a *attempt) judge(r *answer) {
-	code := r.Get("x-clickhouse-exception-code")
-	if code == "" && r.Status != 200 {
-		if _, rest, ok := strings.Cut(string(r.body[:min(len(r.body), 40)]), "Code: "); ok {
+// processAnswer finishes the attempt according to the complete answer to its query. Danger: an error that occurs after the
+// engine has sent status 200 is written into the body, where it would be taken for rows of the result.
+func (a *attempt) processAnswer(response *answer) {
+	code := response.Get("x-clickhouse-exception-code")
+	if code == "" && response.Status != 200 {
+		if _, rest, ok := strings.Cut(string(response.body[:min(len(response.body), 40)]), "Code: "); ok {
 			code, _, _ = strings.Cut(rest, ".")
 		}
 	}
 	switch {
-	case code == strconv.Itoa(tooMany):
+	case code == strconv.Itoa(codeTooManyQueries):
 		a.finish(link.Full)
-	case rejections[code]:
-		a.outcome.Message = strings.TrimSpace(string(r.body[:min(len(r.body), mostWhy)]))
+	case rejectionCodes[code]:
+		a.outcome.Message = strings.TrimSpace(string(response.body[:min(len(response.body), maxMessageBytes)]))
 		a.finish(link.Rejected)
-	case code != "" || r.Status != 200:
+	case code != "" || response.Status != 200:
 		a.finish(link.Failed)
-	case faulty(r):
-		a.f.Faults.Add("engine-fault-behind-status", "engine", a.Engine, "bytes", len(r.body))
+	case endsWithException(response):
+		a.fleet.Faults.Add("engine-fault-behind-status", "engine", a.Engine, "bytes", len(response.body))
 		a.finish(link.Failed)
 	default:
-		set, err := result.Parse(r.body)
+		set, err := result.Parse(response.body)
 		if err != nil {
-			a.f.Faults.Add("engine-spoilt", "engine", a.Engine, "what", "result", "error", err)
+			a.fleet.Faults.Add("engine-spoilt", "engine", a.Engine, "what", "result", "error", err)
 			a.finish(link.Failed)
 			return
 		}
 		a.outcome.Result = set
-		a.outcome.Duration = a.f.Now() - a.sent
-		elapsed, mem := summary(r.Get("x-clickhouse-summary"))
-		a.outcome.Work, a.outcome.Mem = elapsed*a.Threads, mem // of all its threads, as the module counts work
+		a.outcome.Duration = a.fleet.Now() - a.startedAt
+		elapsed, mem := parseSummary(response.Get("x-clickhouse-summary"))
+		a.outcome.Work, a.outcome.Mem = elapsed*a.Threads, mem // the scheduler counts the work of all threads
 		a.finish(link.Served)
 	}
 }
 
-const mostWhy = 2000 // bytes of an exception that are passed on
+const maxMessageBytes = 2000 // of an exception's text that are passed on to the client
 
-// rejections are the codes with which an engine turns a query away as it reads it: nothing has run, and no other engine
-// would take it. Danger: a code that may also come once rows were read or written is none of them.
-var rejections = map[string]bool{
+// rejectionCodes are the exception codes with which an engine rejects a query while analyzing it: nothing has run, and any
+// other engine would reject it too. Danger: a code that may also occur after rows were read or written must not be listed, as
+// such a query may have had effects.
+var rejectionCodes = map[string]bool{
 	"16": true, "42": true, "43": true, "46": true, "47": true, "60": true, "62": true, "81": true, "115": true, "215": true,
 	"457": true, "497": true,
 }
 
-// faulty tells whether a body ends with an exception. Newer engines mark one with a tag that no row can hold; of older
-// ones it is the last line.
-func faulty(r *answer) bool {
-	if tag := r.Get("x-clickhouse-exception-tag"); tag != "" {
-		return bytes.Contains(r.body, []byte("__exception__\r\n"+tag))
-	}
-	b := bytes.TrimRight(r.body, "\r\n")
-	last := b[bytes.LastIndexByte(b, '\n')+1:]
-	return bytes.HasPrefix(last, []byte("Code: ")) && bytes.Contains(last, []byte("DB::Exception: ")) ||
-		bytes.Contains(r.body, []byte("\r\n__exception__\r\n"))
+// endsWithException reports whether a body ends with an exception. Newer engines mark it with a random tag, announced in a
+// header, that no row can contain; older engines write it as the last line.
+func endsWithException(response *answer) bool {
+	if tag := response.Get("x-clickhouse-exception-tag"); tag != "" {
+		return bytes.Contains(response.body, []byte("__exception__\r\n"+tag))
+	}
+	body := bytes.TrimRight(response.body, "\r\n")
+	lastLine := body[bytes.LastIndexByte(body, '\n')+1:]
+	return bytes.HasPrefix(lastLine, []byte("Code: ")) && bytes.Contains(lastLine, []byte("DB::Exception: ")) ||
+		bytes.Contains(response.body, []byte("\r\n__exception__\r\n"))
 }
 
-// summary gives the time on the engine in ms and the memory in MB of a query; it tells no processor time.
-func summary(text string) (elapsed, mem float64) {
-	var s struct {
+// parseSummary returns the elapsed time in ms and the memory in MB of a query, from the summary header of its answer. The
+// summary does not contain the CPU time.
+func parseSummary(text string) (elapsed, mem float64) {
+	var fields struct {
 		Elapsed string `json:"elapsed_ns"`
 		Memory  string `json:"memory_usage"`
 	}
-	if json.Unmarshal([]byte(text), &s) != nil {
+	if json.Unmarshal([]byte(text), &fields) != nil {
 		return 0, 0
 	}
-	number := func(s string) float64 {
-		v, err := strconv.ParseFloat(s, 64)
-		if err != nil || !(v >= 0) || math.IsInf(v, 0) {
+	number := func(text string) float64 {
+		value, err := strconv.ParseFloat(text, 64)
+		if err != nil || !(value >= 0) || math.IsInf(value, 0) {
 			return 0
 		}
-		return v
+		return value
 	}
-	return number(s.Elapsed) / 1e6, number(s.Memory) / (1 << 20)
+	return number(fields.Elapsed) / 1e6, number(fields.Memory) / (1 << 20)
 }
 
-// Cancel gives an attempt up. Its end comes once it can't be out any more.
-func (f *Fleet) Cancel(id string, n int) {
-	a := f.attempts[key{id, n}]
+// Cancel cancels an attempt, if it is in flight. Watcher.AttemptEnded follows once the query is known not to be running.
+func (f *Fleet) Cancel(id string, number int) {
+	a := f.attempts[attemptKey{id, number}]
 	switch {
-	case a == nil || a.cancelled || a.over:
+	case a == nil || a.cancelled || a.finished:
 	case !a.written:
-		if a.call != nil {
-			a.call.drop()
+		if a.queryCall != nil {
+			a.queryCall.abandon()
 		}
 		a.finish(link.Cancelled)
 	default:
-		a.revoke(link.Cancelled)
+		a.cancel(link.Cancelled)
 	}
 }
 
-// revoke has the query killed, and ends the attempt once it does not run any more.
-func (a *attempt) revoke(e link.EndReason) {
-	a.cancelled, a.end = true, e
-	a.f.Deadlines.Cancel(&a.again)
-	if a.control != nil {
-		a.control.drop()
-		a.control = nil
-	}
-	a.kill(func(*answer, link.EndReason) { a.ask() })
+// cancel kills a query that was written. The attempt finishes with the reason once the query is not running any more.
+func (a *attempt) cancel(reason link.EndReason) {
+	a.cancelled, a.endReason = true, reason
+	a.fleet.Deadlines.Cancel(&a.retryTimer)
+	if a.controlCall != nil {
+		a.controlCall.abandon()
+		a.controlCall = nil
+	}
+	a.kill(func(*answer, link.EndReason) { a.checkRunning() })
 }
 
-// kill tells the engine to end the query, over another connection.
+// kill sends KILL QUERY over another connection, and calls done with the engine's answer. done may be nil.
 func (a *attempt) kill(done func(*answer, link.EndReason)) {
 	if done == nil {
 		done = func(*answer, link.EndReason) {}
 	}
-	a.ctl("KILL QUERY WHERE query_id = '"+a.query+"' ASYNC", done)
+	a.runControlQuery("KILL QUERY WHERE query_id = '"+a.queryID+"' ASYNC", done)
 }
 
-// ctl runs a short query about this one.
-func (a *attempt) ctl(text string, done func(*answer, link.EndReason)) {
-	c := &call{within: controlWithin, most: mostControl}
-	c.build = func() []byte { return a.e.request("POST", "/?default_format=TabSeparated", []byte(text), "") }
+// runControlQuery sends a short query that concerns this attempt's query. At most one is in progress at a time.
+func (a *attempt) runControlQuery(text string, done func(*answer, link.EndReason)) {
+	c := &call{timeout: controlTimeout, maxBodyBytes: maxControlBytes}
+	c.build = func() []byte { return a.engine.buildRequest("POST", "/?default_format=TabSeparated", []byte(text), "") }
 	c.done = func(r *answer, e link.EndReason) {
-		if a.control == c {
-			a.control = nil
+		if a.controlCall == c {
+			a.controlCall = nil
 		}
 		done(r, e)
 	}
-	a.control = c
-	a.e.start(c)
+	a.controlCall = c
+	a.engine.start(c)
 }
 
-// ask asks whether the query still runs, until it does not.
-func (a *attempt) ask() {
-	if a.over {
+// checkRunning asks the engine whether the query is still running, and repeats that until it is not.
+func (a *attempt) checkRunning() {
+	if a.finished {
 		return
 	}
-	a.ctl("SELECT count() FROM system.processes WHERE query_id = '"+a.query+"'", func(r *answer, e link.EndReason) {
+	a.runControlQuery("SELECT count() FROM system.processes WHERE query_id = '"+a.queryID+"'", func(r *answer, e link.EndReason) {
 		switch {
-		case a.over:
+		case a.finished:
 		case r != nil && r.Status == 200 && string(bytes.TrimSpace(r.body)) == "0":
-			a.finish(a.end)
-		case e == link.ConnRefused && (a.e.open == 0 || a.e.Addr == ""): // its process has ended, and the query with it
-			if a.end == link.QueryLost {
-				a.end = link.ProcessDied
+			a.finish(a.endReason)
+		case e == link.ConnRefused && (a.engine.openConns == 0 || a.engine.Addr == ""):
+			// The engine's process has ended, and the query with it.
+			if a.endReason == link.QueryLost {
+				a.endReason = link.ProcessDied
 			}
-			a.finish(a.end)
-		case r != nil && r.Status == 200 && a.lost && !a.cancelled: // it runs, and its answer can't come any more
-			a.revoke(a.end)
+			a.finish(a.endReason)
+		case r != nil && r.Status == 200 && a.connLost && !a.cancelled: // it is running, but its answer can't arrive any more
+			a.cancel(a.endReason)
 		default:
-			a.again.Do = a.ask
-			a.f.Deadlines.Set(&a.again, a.f.Now()+askPause)
+			a.retryTimer.Do = a.checkRunning
+			a.fleet.Deadlines.Set(&a.retryTimer, a.fleet.Now()+pollPause)
 		}
 	})
 }
 
-// finish is the one end of an attempt.
-func (a *attempt) finish(e link.EndReason) {
-	if a.over {
+// finish ends the attempt and reports its outcome. Further calls have no effect.
+func (a *attempt) finish(reason link.EndReason) {
+	if a.finished {
 		return
 	}
-	a.over = true
-	f := a.f
-	f.Deadlines.Cancel(&a.budget)
-	f.Deadlines.Cancel(&a.again)
-	if a.call != nil {
-		a.call.drop()
-		a.call = nil
+	a.finished = true
+	fleet := a.fleet
+	fleet.Deadlines.Cancel(&a.waitTimer)
+	fleet.Deadlines.Cancel(&a.retryTimer)
+	if a.queryCall != nil {
+		a.queryCall.abandon()
+		a.queryCall = nil
 	}
-	if k := (key{a.ID, a.Number}); f.attempts[k] == a {
-		delete(f.attempts, k)
-		a.e.attempts--
-		defer f.engines.RemoveIfUnused(a.e)
+	if k := (attemptKey{a.ID, a.Number}); fleet.attempts[k] == a {
+		delete(fleet.attempts, k)
+		a.engine.attemptCount--
+		defer fleet.engines.RemoveIfUnused(a.engine)
 	}
-	a.outcome.EndReason = e
-	if e != link.Served {
-		a.outcome.Duration, a.outcome.Result = f.Now()-a.sent, nil
+	a.outcome.EndReason = reason
+	if reason != link.Served {
+		a.outcome.Duration, a.outcome.Result = fleet.Now()-a.startedAt, nil
 	}
-	f.Watcher.AttemptEnded(a.outcome)
+	fleet.Watcher.AttemptEnded(a.outcome)
 }
--- a/internal/chengine/pool.go
+++ b/internal/chengine/pool.go
@@ -11,317 +11,322 @@
 	"thymeway/internal/link"
 )
 
-// answer is one whole answer of an engine.
+// answer is a complete answer of an engine.
 type answer struct {
 	*http1.Head
 	body []byte
 }
 
-// call is a request to an engine. done comes once, unless the call is dropped.
+// call is one HTTP call to an engine. done is called once, unless the call is abandoned.
 type call struct {
-	build    func() []byte // the bytes, made when they are written; nil calls it off
-	within   float64       // ms for the answer, from when it is written
-	most     int           // bytes of the answer's body
-	written  bool
-	progress func(value string) // of an answer whose head is not whole yet; may be nil
-	done     func(a *answer, e link.EndReason)
-	wire     *wire
-	timer    deadline.Entry
+	build        func() []byte // returns the bytes just before they are written; nil withdraws the call
+	timeout      float64       // for the answer, in ms from when the call is written
+	maxBodyBytes int           // limit for the body of the answer
+	written      bool
+	progress     func(value string) // receives progress headers as they arrive; may be nil
+	done         func(a *answer, e link.EndReason)
+	conn         *conn
+	timer        deadline.Entry
 }
 
-// drop makes a call come to nothing. Its connection is of no further use, as its answer may still come.
-func (c *call) drop() {
+// abandon ignores the outcome of a call. Its connection is closed, as the answer might still arrive on it.
+func (c *call) abandon() {
 	c.done = func(*answer, link.EndReason) {}
-	if w := c.wire; w != nil {
-		w.finish()
+	if cn := c.conn; cn != nil {
+		cn.close()
 	}
 }
 
-// engine is one server and its connections.
+// engine holds the connections to one engine.
 type engine struct {
 	directory.Record
-	f        *Fleet
-	kind     string
-	idle     []*wire // the last used last
-	wires    int
-	open     int
-	attempts int
+	fleet        *Fleet
+	kind         string
+	idle         []*conn // most recently used last
+	conns        int     // all connections, including those being established
+	openConns    int     // established connections
+	attemptCount int
 }
 
-// wire is a connection, and the one call on it.
-type wire struct {
-	e       *engine
-	addr    string
-	c       link.Conn
-	call    *call
-	buf     []byte
-	seen    int // bytes of buf that were looked at for progress
-	head    *http1.Head
-	body    *http1.BodyDecoder
-	got     []byte
-	holds   int // bytes of it that count for the fleet
-	interim int
-	over    bool
-	timer   deadline.Entry
+// conn is a connection to an engine. It carries at most one call at a time.
+type conn struct {
+	engine         *engine
+	addr           string
+	transport      link.Conn
+	call           *call
+	input          []byte      // received, but not parsed yet
+	scannedBytes   int         // of input, searched for progress headers
+	head           *http1.Head // of the answer being received; nil: incomplete
+	body           *http1.BodyDecoder
+	received       []byte // of the body
+	countedBytes   int    // of it, included in the fleet's bufferedBytes
+	interimAnswers int    // answers with status 1xx before the current answer
+	closed         bool
+	timer          deadline.Entry // closes an idle connection
 }
 
 const (
-	headMost    = 64 << 10 // bytes of a head: progress comes in it
-	interimMost = 16
+	maxHeadBytes      = 64 << 10 // progress headers count toward it
+	maxInterimAnswers = 16
 )
 
-// start writes a call to an idle connection, or to one that it opens.
+// start writes a call to an idle connection, or opens a connection for it.
 func (e *engine) start(c *call) {
-	if e.Addr == "" { // its process has ended: another one listens there
+	if e.Addr == "" { // the process has ended: another one listens at its address
 		c.done(nil, link.ConnRefused)
 		return
 	}
-	for n := len(e.idle); n > 0; n = len(e.idle) {
-		w := e.idle[n-1]
-		e.idle = e.idle[:n-1]
-		e.f.Deadlines.Cancel(&w.timer)
-		if w.c.Idle() { // danger: what came since would spoil this call
-			w.write(c)
+	for count := len(e.idle); count > 0; count = len(e.idle) {
+		cn := e.idle[count-1]
+		e.idle = e.idle[:count-1]
+		e.fleet.Deadlines.Cancel(&cn.timer)
+		// Danger: a reset or stray bytes that have arrived in the meantime would be taken for the answer to this call.
+		if cn.transport.Idle() {
+			cn.writeCall(c)
 			return
 		}
-		w.finish()
+		cn.close()
 	}
-	if !e.f.room() {
+	if !e.fleet.ensureConnCapacity() {
 		c.done(nil, link.NoDescriptor)
 		return
 	}
-	w := &wire{e: e, addr: e.Addr, call: c}
-	c.wire = w
-	e.wires++
-	e.f.wires++
-	e.f.Dialer.Dial(e.Addr, w)
+	cn := &conn{engine: e, addr: e.Addr, call: c}
+	c.conn = cn
+	e.conns++
+	e.fleet.conns++
+	e.fleet.Dialer.Dial(e.Addr, cn)
 }
 
-// room tells whether one more connection may be opened, closing an idle one if that makes room.
-func (f *Fleet) room() bool {
-	if f.wires < f.MostWires {
+// ensureConnCapacity reports whether one more connection may be opened. At the limit it closes an idle connection.
+func (f *Fleet) ensureConnCapacity() bool {
+	if f.conns < f.MaxConns {
 		return true
 	}
 	for _, e := range f.engines.All() {
 		if len(e.idle) > 0 {
-			e.idle[0].finish()
+			e.idle[0].close()
 			return true
 		}
 	}
 	return false
 }
 
-// Left tells whether nothing of the engine's is open or out.
-func (e *engine) Unused() bool { return e.wires == 0 && e.attempts == 0 }
+// Unused reports whether the engine has no connection and no attempt.
+func (e *engine) Unused() bool { return e.conns == 0 && e.attemptCount == 0 }
 
-// Lose has nothing to end: each call has a connection of its own, which finds out as it comes up.
+// AddressTaken does nothing: each call has its own connection, which compares the addresses once it is established.
 func (e *engine) AddressTaken() {}
 
-// Leave closes what is idle.
+// CloseIdle closes the idle connections.
 func (e *engine) CloseIdle() {
 	for len(e.idle) > 0 {
-		e.idle[0].finish()
+		e.idle[0].close()
 	}
 }
 
-func (w *wire) write(c *call) {
-	f := w.e.f
+// writeCall builds a call, writes it and starts its timeout.
+func (cn *conn) writeCall(c *call) {
+	fleet := cn.engine.fleet
 	b := c.build()
 	if b == nil {
-		w.call, c.wire = nil, nil
-		w.rest()
+		cn.call, c.conn = nil, nil
+		cn.makeAvailable()
 		c.done(nil, link.Unreachable)
 		return
 	}
-	w.call, c.wire, c.written = c, w, true
-	c.timer.Do = func() { w.end(link.NoAnswer) }
-	f.Deadlines.Set(&c.timer, f.Now()+c.within)
-	w.c.Write(b)
+	cn.call, c.conn, c.written = c, cn, true
+	c.timer.Do = func() { cn.closeAndFail(link.NoAnswer) }
+	fleet.Deadlines.Set(&c.timer, fleet.Now()+c.timeout)
+	cn.transport.Write(b)
 }
 
-// rest keeps the connection for the next call.
-func (w *wire) rest() {
-	e := w.e
-	if e.Removed || w.addr != e.Addr {
-		w.finish()
+// makeAvailable keeps the connection idle for the next call, or closes it if the engine was removed or has another address.
+func (cn *conn) makeAvailable() {
+	e := cn.engine
+	if e.Removed || cn.addr != e.Addr {
+		cn.close()
 		return
 	}
-	e.idle = append(e.idle, w)
-	w.timer.Do = w.finish
-	e.f.Deadlines.Set(&w.timer, e.f.Now()+e.f.ConnIdle)
+	e.idle = append(e.idle, cn)
+	cn.timer.Do = cn.close
+	e.fleet.Deadlines.Set(&cn.timer, e.fleet.Now()+e.fleet.ConnIdleTimeout)
 }
 
-// finish closes the connection and gives its place up.
-func (w *wire) finish() {
-	if w.over {
+// close closes the connection and frees its slot. Its call is not notified.
+func (cn *conn) close() {
+	if cn.closed {
 		return
 	}
-	if w.c != nil {
-		w.c.Close()
+	if cn.transport != nil {
+		cn.transport.Close()
 	}
-	w.off()
+	cn.detach()
 }
 
-func (w *wire) off() {
-	w.over = true
-	w.hold(0)
-	e := w.e
-	e.f.Deadlines.Cancel(&w.timer)
+// detach removes a closed connection from its engine and the fleet.
+func (cn *conn) detach() {
+	cn.closed = true
+	cn.setCountedBytes(0)
+	e := cn.engine
+	e.fleet.Deadlines.Cancel(&cn.timer)
 	for i, x := range e.idle {
-		if x == w {
+		if x == cn {
 			e.idle = append(e.idle[:i:i], e.idle[i+1:]...)
 			break
 		}
 	}
-	if c := w.call; c != nil {
-		e.f.Deadlines.Cancel(&c.timer)
-		c.wire = nil
+	if c := cn.call; c != nil {
+		e.fleet.Deadlines.Cancel(&c.timer)
+		c.conn = nil
 	}
-	if w.c != nil {
-		e.open--
+	if cn.transport != nil {
+		e.openConns--
 	}
-	e.wires--
-	e.f.wires--
-	e.f.engines.RemoveIfUnused(e)
+	e.conns--
+	e.fleet.conns--
+	e.fleet.engines.RemoveIfUnused(e)
 }
 
-// end closes the connection and tells its call how it ended.
-func (w *wire) end(why link.EndReason) {
-	c := w.call
-	w.finish()
-	w.call = nil
+// closeAndFail closes the connection and fails its call with the reason.
+func (cn *conn) closeAndFail(reason link.EndReason) {
+	c := cn.call
+	cn.close()
+	cn.call = nil
 	if c != nil {
-		c.done(nil, why)
+		c.done(nil, reason)
 	}
 }
 
-// Opened comes when the connection is up.
-func (w *wire) Opened(c link.Conn) {
-	w.c = c
-	w.e.open++
-	if w.over || w.call == nil { // its call was dropped on the way
-		w.e.open--
+// Opened is called when the connection is established.
+func (cn *conn) Opened(c link.Conn) {
+	cn.transport = c
+	cn.engine.openConns++
+	if cn.closed || cn.call == nil { // its call was abandoned in the meantime
+		cn.engine.openConns--
 		c.Close()
 		return
 	}
-	if w.addr != w.e.Addr { // danger: another engine listens there by now
-		w.end(link.ConnRefused)
+	if cn.addr != cn.engine.Addr { // danger: another engine now listens there and would run the query
+		cn.closeAndFail(link.ConnRefused)
 		return
 	}
-	w.write(w.call)
+	cn.writeCall(cn.call)
 }
 
-// Closed comes when the connection ends by itself, or did not come up.
-func (w *wire) Closed(why link.EndReason) {
-	if w.over {
+// Closed is called when the connection was closed by the peer or failed, or could not be established.
+func (cn *conn) Closed(reason link.EndReason) {
+	if cn.closed {
 		return
 	}
-	c := w.call
-	w.off()
-	w.call = nil
+	c := cn.call
+	cn.detach()
+	cn.call = nil
 	if c != nil {
-		c.done(nil, why)
+		c.done(nil, reason)
 	}
 }
 
-// Received takes a part of an answer.
-func (w *wire) Received(b []byte) {
-	f := w.e.f
-	if w.over {
+// Received processes bytes of an answer, however they are split.
+func (cn *conn) Received(b []byte) {
+	fleet := cn.engine.fleet
+	if cn.closed {
 		return
 	}
-	if w.call == nil {
-		f.Faults.Add("engine-unasked", "engine", w.e.ID, "addr", w.addr, "bytes", len(b))
-		w.finish()
+	if cn.call == nil {
+		fleet.Faults.Add("engine-unasked", "engine", cn.engine.ID, "addr", cn.addr, "bytes", len(b))
+		cn.close()
 		return
 	}
-	a, err := w.take(b)
-	if errors.Is(err, errNoRoom) {
-		f.Faults.Add("result-no-room", "engine", w.e.ID, "bytes", len(w.got))
-		w.end(link.NoDescriptor)
+	a, err := cn.parseInput(b)
+	if errors.Is(err, errBufferLimit) {
+		fleet.Faults.Add("result-no-room", "engine", cn.engine.ID, "bytes", len(cn.received))
+		cn.closeAndFail(link.NoDescriptor)
 		return
 	}
 	if err != nil {
-		f.Faults.Add("engine-garbled", "engine", w.e.ID, "addr", w.addr, "error", err)
-		w.end(link.Malformed)
+		fleet.Faults.Add("engine-garbled", "engine", cn.engine.ID, "addr", cn.addr, "error", err)
+		cn.closeAndFail(link.Malformed)
 		return
 	}
 	if a == nil {
 		return
 	}
-	c := w.call
-	w.call, c.wire = nil, nil
-	f.Deadlines.Cancel(&c.timer)
-	if a.Close || len(w.buf) > 0 {
-		w.finish()
+	c := cn.call
+	cn.call, c.conn = nil, nil
+	fleet.Deadlines.Cancel(&c.timer)
+	if a.Close || len(cn.input) > 0 {
+		cn.close()
 	} else {
-		w.rest()
+		cn.makeAvailable()
 	}
 	c.done(a, link.Served)
 }
 
-// take adds bytes, tells of progress, and gives the answer that they complete.
-func (w *wire) take(b []byte) (*answer, error) {
-	w.buf = append(w.buf, b...)
-	for w.head == nil {
-		h, n, err := http1.ParseResponse(w.buf, http1.Limits{MaxBytes: headMost})
+// parseInput adds bytes to the input, passes on progress headers, and returns the answer if it is now complete.
+func (cn *conn) parseInput(b []byte) (*answer, error) {
+	cn.input = append(cn.input, b...)
+	for cn.head == nil {
+		head, n, err := http1.ParseResponse(cn.input, http1.Limits{MaxBytes: maxHeadBytes})
 		if errors.Is(err, http1.ErrIncomplete) {
-			w.look()
+			cn.scanProgress()
 			return nil, nil
 		}
 		if err != nil {
 			return nil, err
 		}
-		w.buf, w.seen = append(w.buf[:0], w.buf[n:]...), 0
-		if h.Status/100 == 1 {
-			if w.interim++; w.interim > interimMost || h.Status == 101 {
-				return nil, errors.New("interim answers")
+		cn.input, cn.scannedBytes = append(cn.input[:0], cn.input[n:]...), 0
+		if head.Status/100 == 1 {
+			if cn.interimAnswers++; cn.interimAnswers > maxInterimAnswers || head.Status == 101 {
+				return nil, errors.New("unexpected interim answer (status 1xx)")
 			}
 			continue
 		}
-		if w.body, err = h.NewBodyDecoder(int64(w.call.most)); err != nil {
+		if cn.body, err = head.NewBodyDecoder(int64(cn.call.maxBodyBytes)); err != nil {
 			return nil, err
 		}
-		w.head = h
+		cn.head = head
 	}
-	got, used, err := w.body.DecodeAll(w.got, w.buf)
-	w.got = got
-	w.buf = append(w.buf[:0], w.buf[used:]...)
-	// Danger: each result is bounded, but those of all attempts together are not.
-	if f := w.e.f; f.MostHeld > 0 && f.held-w.holds+len(got) > f.MostHeld {
-		return nil, errNoRoom
+	received, used, err := cn.body.DecodeAll(cn.received, cn.input)
+	cn.received = received
+	cn.input = append(cn.input[:0], cn.input[used:]...)
+	// Danger: the limit on one result does not bound the memory that the results of all attempts take together.
+	if f := cn.engine.fleet; f.MaxBufferedBytes > 0 && f.bufferedBytes-cn.countedBytes+len(received) > f.MaxBufferedBytes {
+		return nil, errBufferLimit
 	}
-	w.hold(len(got))
-	if err != nil || !w.body.Done() {
+	cn.setCountedBytes(len(received))
+	if err != nil || !cn.body.Done() {
 		return nil, err
 	}
-	w.hold(0)
-	a := &answer{w.head, w.got}
-	w.head, w.body, w.got, w.interim = nil, nil, nil, 0
-	if cap(w.buf) > 8<<10 {
-		w.buf = append([]byte(nil), w.buf...)
+	cn.setCountedBytes(0)
+	a := &answer{cn.head, cn.received}
+	cn.head, cn.body, cn.received, cn.interimAnswers = nil, nil, nil, 0
+	if cap(cn.input) > 8<<10 {
+		cn.input = append([]byte(nil), cn.input...)
 	}
 	return a, nil
 }
 
-var errNoRoom = errors.New("no room for the result beside those of others")
+// errBufferLimit is returned when the results being received would exceed Fleet.MaxBufferedBytes.
+var errBufferLimit = errors.New("results being received exceed their memory limit")
 
-func (w *wire) hold(n int) {
-	w.e.f.held += n - w.holds
-	w.holds = n
+// setCountedBytes sets the connection's share of the fleet's bufferedBytes.
+func (cn *conn) setCountedBytes(count int) {
+	cn.engine.fleet.bufferedBytes += count - cn.countedBytes
+	cn.countedBytes = count
 }
 
-// look finds the lines of progress in a head that is not whole yet.
-func (w *wire) look() {
-	for w.call != nil && w.call.progress != nil {
-		i := bytes.IndexByte(w.buf[w.seen:], '\n')
+// scanProgress passes on the progress headers in a head that is still incomplete.
+func (cn *conn) scanProgress() {
+	for cn.call != nil && cn.call.progress != nil {
+		i := bytes.IndexByte(cn.input[cn.scannedBytes:], '\n')
 		if i < 0 {
 			return
 		}
-		name, value, _ := strings.Cut(string(w.buf[w.seen:w.seen+i]), ":")
-		w.seen += i + 1
+		name, value, _ := strings.Cut(string(cn.input[cn.scannedBytes:cn.scannedBytes+i]), ":")
+		cn.scannedBytes += i + 1
 		if strings.EqualFold(name, "X-ClickHouse-Progress") {
-			w.call.progress(strings.TrimSpace(value))
+			cn.call.progress(strings.TrimSpace(value))
 		}
 	}
 }
--- a/internal/chhttp/format.go
+++ b/internal/chhttp/format.go
@@ -10,90 +10,92 @@
 	"thymeway/internal/result"
 )
 
-// options of how a result is written.
-type options struct {
-	revision uint64 // client_protocol_version, for Native
-	quote64  bool   // numbers of 64 bits stand in quotes in JSON
-	elapsed  float64
+// formatOptions are a client's options for the output formats.
+type formatOptions struct {
+	revision       uint64  // client_protocol_version; used by Native
+	quote64Bit     bool    // JSON formats write integers of 64 or more bits in quotes
+	elapsedSeconds float64 // time that the query took; used by JSON
 }
 
-// format is one way to write a result.
+// format is an output format: its Content-Type, and the function that appends a result.
 type format struct {
-	media string
-	write func(dst []byte, s *result.Set, o options) ([]byte, error)
+	contentType string
+	write       func(dst []byte, s *result.Set, o formatOptions) ([]byte, error)
 }
 
+// Values of Content-Type.
 const (
-	mediaText   = "text/tab-separated-values; charset=UTF-8"
-	mediaCSV    = "text/csv; charset=UTF-8; header=absent"
-	mediaCSVH   = "text/csv; charset=UTF-8; header=present"
-	mediaJSON   = "application/json; charset=UTF-8"
-	mediaLines  = "application/x-ndjson; charset=UTF-8"
-	mediaBinary = "application/octet-stream"
+	mediaTSV           = "text/tab-separated-values; charset=UTF-8"
+	mediaCSV           = "text/csv; charset=UTF-8; header=absent"
+	mediaCSVWithHeader = "text/csv; charset=UTF-8; header=present"
+	mediaJSON          = "application/json; charset=UTF-8"
+	mediaNDJSON        = "application/x-ndjson; charset=UTF-8"
+	mediaBinary        = "application/octet-stream"
 )
 
-// formats are all there are, with their other names.
+// formats holds all output formats by name, including their aliases.
 var formats = map[string]format{}
 
 func init() {
-	add := func(f format, names ...string) {
+	add := func(outputFormat format, names ...string) {
 		for _, n := range names {
-			formats[n] = f
+			formats[n] = outputFormat
 		}
 	}
-	add(format{mediaText, tabs(0)}, "TabSeparated", "TSV")
-	add(format{mediaText, tabs(1)}, "TabSeparatedWithNames", "TSVWithNames")
-	add(format{mediaText, tabs(2)}, "TabSeparatedWithNamesAndTypes", "TSVWithNamesAndTypes")
-	add(format{mediaCSV, commas(0)}, "CSV")
-	add(format{mediaCSVH, commas(1)}, "CSVWithNames")
-	add(format{mediaCSVH, commas(2)}, "CSVWithNamesAndTypes")
-	add(format{mediaJSON, jsonDocument(false)}, "JSON")
-	add(format{mediaJSON, jsonDocument(true)}, "JSONCompact")
-	add(format{mediaLines, jsonRows}, "JSONEachRow", "JSONLines", "NDJSON")
-	add(format{mediaBinary, rowBinary(0)}, "RowBinary")
-	add(format{mediaBinary, rowBinary(1)}, "RowBinaryWithNames")
-	add(format{mediaBinary, rowBinary(2)}, "RowBinaryWithNamesAndTypes")
-	add(format{mediaBinary, native}, "Native")
-	add(format{mediaText, func(dst []byte, _ *result.Set, _ options) ([]byte, error) { return dst, nil }}, "Null")
+	add(format{mediaTSV, tabSeparatedWriter(0)}, "TabSeparated", "TSV")
+	add(format{mediaTSV, tabSeparatedWriter(1)}, "TabSeparatedWithNames", "TSVWithNames")
+	add(format{mediaTSV, tabSeparatedWriter(2)}, "TabSeparatedWithNamesAndTypes", "TSVWithNamesAndTypes")
+	add(format{mediaCSV, csvWriter(0)}, "CSV")
+	add(format{mediaCSVWithHeader, csvWriter(1)}, "CSVWithNames")
+	add(format{mediaCSVWithHeader, csvWriter(2)}, "CSVWithNamesAndTypes")
+	add(format{mediaJSON, jsonWriter(false)}, "JSON")
+	add(format{mediaJSON, jsonWriter(true)}, "JSONCompact")
+	add(format{mediaNDJSON, writeJSONEachRow}, "JSONEachRow", "JSONLines", "NDJSON")
+	add(format{mediaBinary, rowBinaryWriter(0)}, "RowBinary")
+	add(format{mediaBinary, rowBinaryWriter(1)}, "RowBinaryWithNames")
+	add(format{mediaBinary, rowBinaryWriter(2)}, "RowBinaryWithNamesAndTypes")
+	add(format{mediaBinary, writeNative}, "Native")
+	add(format{mediaTSV, func(dst []byte, _ *result.Set, _ formatOptions) ([]byte, error) { return dst, nil }}, "Null")
 }
 
-// types are the types of a result's columns.
-func types(s *result.Set) []typ {
-	all := make([]typ, len(s.ColumnsOrDefault()))
-	for i, c := range s.ColumnsOrDefault() {
-		all[i] = parseType(c.Type)
+// columnTypes returns the parsed types of a result's columns.
+func columnTypes(set *result.Set) []columnType {
+	list := make([]columnType, len(set.ColumnsOrDefault()))
+	for i, c := range set.ColumnsOrDefault() {
+		list[i] = parseType(c.Type)
 	}
-	return all
+	return list
 }
 
-// tabs writes TabSeparated; head is 1 for a line of names, 2 for one of types too.
-func tabs(head int) func([]byte, *result.Set, options) ([]byte, error) {
-	return func(dst []byte, s *result.Set, _ options) ([]byte, error) {
-		line := func(f func(result.Column) string) {
-			for i, c := range s.ColumnsOrDefault() {
+// tabSeparatedWriter returns a function that writes TabSeparated. headerLines is the number of header lines: one holds the column
+// names, a second one their types.
+func tabSeparatedWriter(headerLines int) func([]byte, *result.Set, formatOptions) ([]byte, error) {
+	return func(dst []byte, set *result.Set, _ formatOptions) ([]byte, error) {
+		writeLine := func(text func(result.Column) string) {
+			for i, c := range set.ColumnsOrDefault() {
 				if i > 0 {
 					dst = append(dst, '\t')
 				}
-				dst = result.Escape(dst, []byte(f(c)))
+				dst = result.Escape(dst, []byte(text(c)))
 			}
 			dst = append(dst, '\n')
 		}
-		if len(s.ColumnsOrDefault()) == 0 {
+		if len(set.ColumnsOrDefault()) == 0 {
 			return dst, nil
 		}
-		if head > 0 {
-			line(func(c result.Column) string { return c.Name })
+		if headerLines > 0 {
+			writeLine(func(c result.Column) string { return c.Name })
 		}
-		if head > 1 {
-			line(func(c result.Column) string { return c.Type })
+		if headerLines > 1 {
+			writeLine(func(c result.Column) string { return c.Type })
 		}
-		if s.Escaped { // it is what the engine gave
-			for _, p := range s.Pages {
-				dst = append(dst, p...)
+		if set.Escaped { // the engine's rows are in this format already
+			for _, page := range set.Pages {
+				dst = append(dst, page...)
 			}
 			return dst, nil
 		}
-		err := s.EachRow(func(row []result.Cell) error {
+		err := set.EachRow(func(row []result.Cell) error {
 			for i, c := range row {
 				if i > 0 {
 					dst = append(dst, '\t')
@@ -107,45 +109,46 @@
 	}
 }
 
-func csvCell(dst []byte, text string) []byte {
+// appendCSVCell appends a text in double quotes.
+func appendCSVCell(dst []byte, text string) []byte {
 	return append(append(append(dst, '"'), strings.ReplaceAll(text, `"`, `""`)...), '"')
 }
 
-// commas writes CSV.
-func commas(head int) func([]byte, *result.Set, options) ([]byte, error) {
-	return func(dst []byte, s *result.Set, _ options) ([]byte, error) {
-		ts := types(s)
-		line := func(f func(result.Column) string) {
-			for i, c := range s.ColumnsOrDefault() {
+// csvWriter returns a function that writes CSV. headerLines has the same meaning as for tabSeparatedWriter.
+func csvWriter(headerLines int) func([]byte, *result.Set, formatOptions) ([]byte, error) {
+	return func(dst []byte, set *result.Set, _ formatOptions) ([]byte, error) {
+		types := columnTypes(set)
+		writeLine := func(text func(result.Column) string) {
+			for i, c := range set.ColumnsOrDefault() {
 				if i > 0 {
 					dst = append(dst, ',')
 				}
-				dst = csvCell(dst, f(c))
+				dst = appendCSVCell(dst, text(c))
 			}
 			dst = append(dst, '\n')
 		}
-		if len(ts) == 0 {
+		if len(types) == 0 {
 			return dst, nil
 		}
-		if head > 0 {
-			line(func(c result.Column) string { return c.Name })
+		if headerLines > 0 {
+			writeLine(func(c result.Column) string { return c.Name })
 		}
-		if head > 1 {
-			line(func(c result.Column) string { return c.Type })
+		if headerLines > 1 {
+			writeLine(func(c result.Column) string { return c.Type })
 		}
-		err := s.EachRow(func(row []result.Cell) error {
+		err := set.EachRow(func(row []result.Cell) error {
 			for i, c := range row {
 				if i > 0 {
 					dst = append(dst, ',')
 				}
-				bare, _ := ts[i].number()
+				unquoted, _ := types[i].unquoted()
 				switch {
 				case c.Null:
 					dst = append(dst, `\N`...)
-				case bare || ts[i].kind == kindDecimal:
+				case unquoted || types[i].kind == kindDecimal:
 					dst = append(dst, c.Text...)
 				default:
-					dst = csvCell(dst, string(c.Text))
+					dst = appendCSVCell(dst, string(c.Text))
 				}
 			}
 			dst = append(dst, '\n')
@@ -157,8 +160,8 @@
 
 const hexDigits = "0123456789abcdef"
 
-// jsonText adds a text as JSON has it. What is not UTF-8 becomes the sign for that, as ClickHouse does it.
-func jsonText(dst []byte, text string) []byte {
+// appendJSONString appends a text as a JSON string. Bytes that are not valid UTF-8 become U+FFFD, as in ClickHouse.
+func appendJSONString(dst []byte, text string) []byte {
 	dst = append(dst, '"')
 	for i := 0; i < len(text); {
 		c := text[i]
@@ -202,9 +205,10 @@
 	return append(dst, '"')
 }
 
-// jsonCell adds a value. Danger: what an engine calls a number and is none would break the document.
-func jsonCell(dst []byte, c result.Cell, t *typ, quote64 bool) []byte {
-	bare, large := t.number()
+// appendJSONValue appends a cell. Danger: if the engine sends something else in a numeric column, writing it without quotes would
+// make the document invalid.
+func appendJSONValue(dst []byte, c result.Cell, t *columnType, quote64Bit bool) []byte {
+	unquoted, large := t.unquoted()
 	switch text := string(c.Text); {
 	case c.Null:
 		return append(dst, "null"...)
@@ -212,14 +216,14 @@
 		return append(dst, text...)
 	case t.kind == kindFloat && (strings.ContainsAny(text, "nN") || text == ""): // inf and nan
 		return append(dst, "null"...)
-	case bare && !(large && quote64) && isNumber(text):
+	case unquoted && !(large && quote64Bit) && isNumber(text):
 		return append(dst, text...)
 	default:
-		return jsonText(dst, text)
+		return appendJSONString(dst, text)
 	}
 }
 
-// isNumber tells whether a text is a number as JSON has it.
+// isNumber reports whether a text is a valid JSON number.
 func isNumber(s string) bool {
 	t := strings.TrimPrefix(s, "-")
 	if t == "" || t[0] < '0' || t[0] > '9' || len(t) > 1 && t[0] == '0' && t[1] >= '0' && t[1] <= '9' || t[len(t)-1] == '.' {
@@ -234,23 +238,23 @@
 	return err == nil
 }
 
-// jsonDocument writes JSON, or JSONCompact.
-func jsonDocument(compact bool) func([]byte, *result.Set, options) ([]byte, error) {
-	return func(dst []byte, s *result.Set, o options) ([]byte, error) {
-		ts, cols := types(s), s.ColumnsOrDefault()
+// jsonWriter returns a function that writes JSON, or JSONCompact if compact is set.
+func jsonWriter(compact bool) func([]byte, *result.Set, formatOptions) ([]byte, error) {
+	return func(dst []byte, set *result.Set, options formatOptions) ([]byte, error) {
+		types, cols := columnTypes(set), set.ColumnsOrDefault()
 		dst = append(dst, "{\n\t\"meta\":\n\t["...)
 		for i, c := range cols {
 			if i > 0 {
 				dst = append(dst, ',')
 			}
 			dst = append(dst, "\n\t\t{\n\t\t\t\"name\": "...)
-			dst = append(jsonText(dst, c.Name), ",\n\t\t\t\"type\": "...)
-			dst = append(jsonText(dst, c.Type), "\n\t\t}"...)
+			dst = append(appendJSONString(dst, c.Name), ",\n\t\t\t\"type\": "...)
+			dst = append(appendJSONString(dst, c.Type), "\n\t\t}"...)
 		}
 		dst = append(dst, "\n\t],\n\n\t\"data\":\n\t["...)
-		n := 0
-		err := s.EachRow(func(row []result.Cell) error {
-			if n++; n > 1 {
+		rowCount := 0
+		err := set.EachRow(func(row []result.Cell) error {
+			if rowCount++; rowCount > 1 {
 				dst = append(dst, ',')
 			}
 			if compact {
@@ -267,9 +271,9 @@
 						dst = append(dst, ' ')
 					}
 				} else {
-					dst = append(jsonText(append(dst, "\n\t\t\t"...), cols[i].Name), ": "...)
+					dst = append(appendJSONString(append(dst, "\n\t\t\t"...), cols[i].Name), ": "...)
 				}
-				dst = jsonCell(dst, c, &ts[i], o.quote64)
+				dst = appendJSONValue(dst, c, &types[i], options.quote64Bit)
 			}
 			if compact {
 				dst = append(dst, ']')
@@ -279,22 +283,22 @@
 			return nil
 		})
 		dst = append(dst, fmt.Sprintf("\n\t],\n\n\t\"rows\": %d,\n\n\t\"statistics\":\n\t{\n\t\t\"elapsed\": %.6f,\n\t\t\"rows_read\": %d,\n\t\t\"bytes_read\": %d\n\t}\n}\n",
-			n, o.elapsed, n, s.Size())...)
+			rowCount, options.elapsedSeconds, rowCount, set.Size())...)
 		return dst, err
 	}
 }
 
-// jsonRows writes JSONEachRow.
-func jsonRows(dst []byte, s *result.Set, o options) ([]byte, error) {
-	ts, cols := types(s), s.ColumnsOrDefault()
-	err := s.EachRow(func(row []result.Cell) error {
+// writeJSONEachRow appends a result as one JSON object for each row.
+func writeJSONEachRow(dst []byte, set *result.Set, options formatOptions) ([]byte, error) {
+	types, cols := columnTypes(set), set.ColumnsOrDefault()
+	err := set.EachRow(func(row []result.Cell) error {
 		dst = append(dst, '{')
 		for i, c := range row {
 			if i > 0 {
 				dst = append(dst, ',')
 			}
-			dst = append(jsonText(dst, cols[i].Name), ':')
-			dst = jsonCell(dst, c, &ts[i], o.quote64)
+			dst = append(appendJSONString(dst, cols[i].Name), ':')
+			dst = appendJSONValue(dst, c, &types[i], options.quote64Bit)
 		}
 		dst = append(dst, "}\n"...)
 		return nil
@@ -302,12 +306,13 @@
 	return dst, err
 }
 
-func putString(dst []byte, s string) []byte {
+// appendString appends a text preceded by its length, as RowBinary and Native write it.
+func appendString(dst []byte, s string) []byte {
 	return append(binary.AppendUvarint(dst, uint64(len(s))), s...)
 }
 
-// mark adds whether a value is NULL, where its column may hold that.
-func (t *typ) mark(dst []byte, c result.Cell) ([]byte, error) {
+// appendNullMark appends the byte that states whether a value is NULL, if the type is nullable.
+func (t *columnType) appendNullMark(dst []byte, c result.Cell) ([]byte, error) {
 	switch {
 	case c.Null && !t.nullable:
 		return dst, fmt.Errorf("NULL in a column of type %s", t.name)
@@ -319,25 +324,26 @@
 	return dst, nil
 }
 
-// rowBinary writes RowBinary.
-func rowBinary(head int) func([]byte, *result.Set, options) ([]byte, error) {
-	return func(dst []byte, s *result.Set, _ options) ([]byte, error) {
-		ts, cols := types(s), s.ColumnsOrDefault()
-		if head > 0 && len(cols) > 0 {
+// rowBinaryWriter returns a function that writes RowBinary. headerParts is the number of header parts: the first holds the column
+// names, the second their types.
+func rowBinaryWriter(headerParts int) func([]byte, *result.Set, formatOptions) ([]byte, error) {
+	return func(dst []byte, set *result.Set, _ formatOptions) ([]byte, error) {
+		types, cols := columnTypes(set), set.ColumnsOrDefault()
+		if headerParts > 0 && len(cols) > 0 {
 			dst = binary.AppendUvarint(dst, uint64(len(cols)))
 			for _, c := range cols {
-				dst = putString(dst, c.Name)
+				dst = appendString(dst, c.Name)
 			}
 		}
-		if head > 1 {
+		if headerParts > 1 {
 			for i := range cols {
-				dst = putString(dst, ts[i].name)
+				dst = appendString(dst, types[i].name)
 			}
 		}
-		err := s.EachRow(func(row []result.Cell) (err error) {
+		err := set.EachRow(func(row []result.Cell) (err error) {
 			for i, c := range row {
-				if dst, err = ts[i].mark(dst, c); err == nil && !c.Null {
-					dst, err = ts[i].binaryValue(dst, string(c.Text))
+				if dst, err = types[i].appendNullMark(dst, c); err == nil && !c.Null {
+					dst, err = types[i].appendBinary(dst, string(c.Text))
 				}
 				if err != nil {
 					return err
@@ -349,29 +355,29 @@
 	}
 }
 
-// Revisions of the native protocol from which a block has more to it.
+// Revisions of the native protocol that added parts to a block.
 const (
-	revisionBlockInfo     = 51903
-	revisionSerialization = 54454
+	revisionBlockInfo     = 51903 // block info before the columns
+	revisionSerialization = 54454 // for each column, whether it has a custom serialization
 )
 
-// native writes one block of columns.
-func native(dst []byte, s *result.Set, o options) ([]byte, error) {
-	ts, cols := types(s), s.ColumnsOrDefault()
+// writeNative appends a result as one block of Native.
+func writeNative(dst []byte, set *result.Set, options formatOptions) ([]byte, error) {
+	types, cols := columnTypes(set), set.ColumnsOrDefault()
 	if len(cols) == 0 {
 		return dst, nil
 	}
 	data, nulls, rows := make([][]byte, len(cols)), make([][]byte, len(cols)), 0
-	err := s.EachRow(func(row []result.Cell) (err error) {
+	err := set.EachRow(func(row []result.Cell) (err error) {
 		rows++
 		for i, c := range row {
-			t := &ts[i]
-			if nulls[i], err = t.mark(nulls[i], c); err != nil {
+			t := &types[i]
+			if nulls[i], err = t.appendNullMark(nulls[i], c); err != nil {
 				return err
 			}
 			if c.Null {
-				data[i] = t.zero(data[i])
-			} else if data[i], err = t.binaryValue(data[i], string(c.Text)); err != nil {
+				data[i] = t.appendZero(data[i])
+			} else if data[i], err = t.appendBinary(data[i], string(c.Text)); err != nil {
 				return err
 			}
 		}
@@ -380,14 +386,14 @@
 	if err != nil {
 		return dst, err
 	}
-	if o.revision >= revisionBlockInfo {
+	if options.revision >= revisionBlockInfo {
 		dst = append(dst, 1, 0, 2, 0xff, 0xff, 0xff, 0xff, 0)
 	}
 	dst = binary.AppendUvarint(dst, uint64(len(cols)))
 	dst = binary.AppendUvarint(dst, uint64(rows))
 	for i, c := range cols {
-		dst = putString(putString(dst, c.Name), ts[i].name)
-		if o.revision >= revisionSerialization {
+		dst = appendString(appendString(dst, c.Name), types[i].name)
+		if options.revision >= revisionSerialization {
 			dst = append(dst, 0)
 		}
 		dst = append(append(dst, nulls[i]...), data[i]...)
--- a/internal/chhttp/format_test.go
+++ b/internal/chhttp/format_test.go
@@ -22,7 +22,8 @@
 	"thymeway/internal/shape"
 )
 
-func set(t testing.TB, text string) *result.Set {
+// parseResult parses a result in the format TabSeparatedWithNamesAndTypes.
+func parseResult(t testing.TB, text string) *result.Set {
 	s, err := result.Parse([]byte(text))
 	if err != nil {
 		t.Fatal(err)
@@ -30,26 +31,28 @@
 	return s
 }
 
+// sample is a result with escaped text, the largest UInt64, a NULL and an infinite number.
 const sample = "s\tu\tn\tf\n" + "String\tUInt64\tNullable(Int8)\tFloat64\n" +
 	"it\\'s\\t\"x\"\t18446744073709551615\t\\N\t1.5\n" + "\\\\\\0</b>\t7\t-8\tinf\n"
 
-// Each text format writes values as the interface's documentation has them.
+// Each text format writes values as ClickHouse's documentation specifies.
 func TestTextFormats(t *testing.T) {
-	s := set(t, sample)
+	s := parseResult(t, sample)
 	for name, want := range map[string]string{
 		"TabSeparated": "it\\'s\\t\"x\"\t18446744073709551615\t\\N\t1.5\n\\\\\\0</b>\t7\t-8\tinf\n",
 		"TSVWithNames": "s\tu\tn\tf\nit\\'s\\t\"x\"\t18446744073709551615\t\\N\t1.5\n\\\\\\0</b>\t7\t-8\tinf\n",
 		"CSVWithNames": "\"s\",\"u\",\"n\",\"f\"\n\"it's\t\"\"x\"\"\",18446744073709551615,\\N,1.5\n\"\\\x00</b>\",7,-8,inf\n",
-		"JSONEachRow":  `{"s":"it's\t\"x\"","u":"18446744073709551615","n":null,"f":1.5}` + "\n" + `{"s":"\\\u0000<\/b>","u":"7","n":-8,"f":null}` + "\n",
-		"Null":         "",
+		"JSONEachRow": `{"s":"it's\t\"x\"","u":"18446744073709551615","n":null,"f":1.5}` + "\n" +
+			`{"s":"\\\u0000<\/b>","u":"7","n":-8,"f":null}` + "\n",
+		"Null": "",
 	} {
-		got, err := formats[name].write(nil, s, options{quote64: true})
+		got, err := formats[name].write(nil, s, formatOptions{quote64Bit: true})
 		if err != nil || string(got) != want {
 			t.Errorf("%s: %v\n got %q\nwant %q", name, err, got, want)
 		}
 	}
 	for _, name := range []string{"JSON", "JSONCompact"} {
-		got, err := formats[name].write(nil, s, options{})
+		got, err := formats[name].write(nil, s, formatOptions{})
 		var doc struct {
 			Meta []struct{ Name, Type string }
 			Data []any
@@ -61,8 +64,8 @@
 	}
 }
 
-// Native blocks are read back by the client's own library, with and without what newer revisions add, and RowBinary
-// holds the same values.
+// ClickHouse's Go client library reads the values back from Native blocks, with and without the parts that newer revisions add.
+// RowBinary contains the same values.
 func TestNative(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := "s\tu\ti\tf\tn\n" + "String\tUInt32\tInt64\tFloat64\tNullable(String)\n"
@@ -85,8 +88,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		revision := rapid.SampledFrom([]uint64{0, revisionBlockInfo, revision}).Draw(t, "revision")
-		b, err := native(nil, r, options{revision: revision})
+		revision := rapid.SampledFrom([]uint64{0, revisionBlockInfo, serverRevision}).Draw(t, "revision")
+		b, err := writeNative(nil, r, formatOptions{revision: revision})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -97,77 +100,83 @@
 		cn := new(proto.ColStr).Nullable()
 		rd := proto.NewReader(bytes.NewReader(b))
 		var block proto.Block
-		if err := block.DecodeBlock(rd, int(revision), proto.Results{{Name: "s", Data: &cs}, {Name: "u", Data: &cu}, {Name: "i", Data: &ci}, {Name: "f", Data: &cf}, {Name: "n", Data: cn}}); err != nil {
+		if err := block.DecodeBlock(rd, int(revision), proto.Results{{Name: "s", Data: &cs}, {Name: "u", Data: &cu},
+			{Name: "i", Data: &ci}, {Name: "f", Data: &cf}, {Name: "n", Data: cn}}); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := rd.ReadByte(); !errors.Is(err, io.EOF) || block.Rows != len(ss) {
-			t.Fatalf("%d rows of %d, %v", block.Rows, len(ss), err)
+			t.Fatalf("decoded %d rows, want %d; error at the end: %v", block.Rows, len(ss), err)
 		}
 		for i := range ss {
 			if cs.Row(i) != ss[i] || cu[i] != us[i] || ci[i] != is[i] || cf[i] != fs[i] || cn.Row(i) != ns[i] {
 				t.Fatalf("row %d differs", i)
 			}
 		}
-		if rb, err := formats["RowBinary"].write(nil, r, options{}); err != nil || len(ss) > 0 && !bytes.HasPrefix(rb, putString(nil, ss[0])) {
+		if rb, err := formats["RowBinary"].write(nil, r, formatOptions{}); err != nil ||
+			len(ss) > 0 && !bytes.HasPrefix(rb, appendString(nil, ss[0])) {
 			t.Fatalf("RowBinary: %v", err)
 		}
 	})
 }
 
-// A value that is none of its column's type is an error and never another value.
+// A value that is invalid for its column's type causes an error and is never written as another value.
 func TestBinaryValues(t *testing.T) {
 	for _, c := range []struct{ typ, text, want string }{
 		{"UInt8", "255", "\xff"}, {"UInt8", "256", ""}, {"UInt8", "-1", ""}, {"Int16", "-2", "\xfe\xff"}, {"Int8", "x", ""},
 		{"Bool", "true", "\x01"}, {"Bool", "yes", ""}, {"FixedString(3)", "ab", "ab\x00"}, {"FixedString(1)", "ab", ""},
 		{"Date", "1970-01-02", "\x01\x00"}, {"Date", "1969-01-02", ""}, {"Date32", "1969-12-31", "\xff\xff\xff\xff"},
-		{"DateTime", "1970-01-01 00:00:05", "\x05\x00\x00\x00"}, {"DateTime('Africa/Dar_es_Salaam')", "1970-01-01 03:00:05", "\x05\x00\x00\x00"},
+		{"DateTime", "1970-01-01 00:00:05", "\x05\x00\x00\x00"},
+		{"DateTime('Africa/Dar_es_Salaam')", "1970-01-01 03:00:05", "\x05\x00\x00\x00"},
 		{"DateTime64(1)", "1970-01-01 00:00:01.5", "\x0f\x00\x00\x00\x00\x00\x00\x00"}, {"DateTime64(1)", "soon", ""},
 		{"Enum8('a' = 1, 'b\\'' = -2)", "b'", "\xfe"}, {"Enum8('a' = 1)", "c", ""}, {"Decimal(9, 2)", "-1.5", "\x6a\xff\xff\xff"},
-		{"Decimal(9, 2)", "1.555", ""}, {"Decimal(9, 0)", "1e5", ""}, {"IPv4", "1.2.3.4", "\x04\x03\x02\x01"}, {"IPv4", "::1", ""},
-		{"Array(UInt8)", "[1]", ""}, {"LowCardinality(Nullable(UInt8))", "7", "\x07"},
+		{"Decimal(9, 2)", "1.555", ""}, {"Decimal(9, 0)", "1e5", ""}, {"IPv4", "1.2.3.4", "\x04\x03\x02\x01"},
+		{"IPv4", "::1", ""}, {"Array(UInt8)", "[1]", ""}, {"LowCardinality(Nullable(UInt8))", "7", "\x07"},
 	} {
-		ty := parseType(c.typ)
-		got, err := ty.binaryValue(nil, c.text)
+		parsed := parseType(c.typ)
+		got, err := parsed.appendBinary(nil, c.text)
 		if (err != nil) != (c.want == "") || err == nil && string(got) != c.want {
 			t.Errorf("%s %q: %q, %v", c.typ, c.text, got, err)
 		}
 	}
-	if _, err := native(nil, set(t, "a\nUInt8\n\\N\n"), options{}); err == nil {
-		t.Error("NULL stands in a column that has none")
+	if _, err := writeNative(nil, parseResult(t, "a\nUInt8\n\\N\n"), formatOptions{}); err == nil {
+		t.Error("NULL was written in a column that is not nullable")
 	}
 }
 
-// Whatever a parameter's value holds, it stands in the text as one literal, and the text keeps its shape.
+// Whatever the value of a query parameter contains, it becomes one literal in the text, and the shape of the text stays the same.
 func TestParametersStayLiterals(t *testing.T) {
 	book := shape.NewCatalog(shape.Options{MaxBytes: 1 << 20})
 	want := book.Recognise("SELECT a FROM sales_3.t WHERE b = 'x' AND c = 1", shape.ClickHouse, 0).ID
 	rapid.Check(t, func(t *rapid.T) {
 		value := string(rapid.SliceOfN(rapid.SampledFrom([]byte(`a'"\;-/*#()`+"`\n")), 0, 12).Draw(t, "value"))
-		text, err := shape.SubstituteParameters("SELECT a FROM sales_3.t WHERE b = {v:String} AND c = {n:UInt8}", func(name, typ string) (string, error) {
-			if name == "n" {
-				return rendered(name, "5", typ)
-			}
-			return rendered(name, string(result.Escape(nil, []byte(value))), typ)
-		})
+		text, err := shape.SubstituteParameters("SELECT a FROM sales_3.t WHERE b = {v:String} AND c = {n:UInt8}",
+			func(name, typ string) (string, error) {
+				if name == "n" {
+					return parameterLiteral(name, "5", typ)
+				}
+				return parameterLiteral(name, string(result.Escape(nil, []byte(value))), typ)
+			})
 		if err != nil {
 			t.Fatal(err)
 		}
 		if s := book.Recognise(text, shape.ClickHouse, 0); s.ID != want {
-			t.Fatalf("%q makes %q of shape %s", value, text, s.Text())
+			t.Fatalf("value %q gives %q, which has another shape: %s", value, text, s.Text())
 		}
 	})
-	for _, c := range [][2]string{{"UInt8", "1 OR 1=1"}, {"UInt8", ""}, {"Float64", "1;"}, {"Date", "2026-13-01"}, {"Map(String, String)", "{}"}, {"Identifier", ""}} {
-		if got, err := rendered("x", c[1], c[0]); err == nil {
-			t.Errorf("%s %q becomes %q", c[0], c[1], got)
+	for _, c := range [][2]string{{"UInt8", "1 OR 1=1"}, {"UInt8", ""}, {"Float64", "1;"}, {"Date", "2026-13-01"},
+		{"Map(String, String)", "{}"}, {"Identifier", ""}} {
+		if got, err := parameterLiteral("x", c[1], c[0]); err == nil {
+			t.Errorf("%s: invalid value %q becomes %q", c[0], c[1], got)
 		}
 	}
-	if got, err := rendered("x", "a`b\\", "Identifier"); err != nil || got != "`a\\`b\\\\`" {
-		t.Errorf("%q, %v", got, err)
+	if got, err := parameterLiteral("x", "a`b\\", "Identifier"); err != nil || got != "`a\\`b\\\\`" {
+		t.Errorf("identifier becomes %q, %v", got, err)
 	}
 }
 
-// What was packed is unpacked, in each way, and a few bytes that unpack to much are refused without the room for it.
-func TestPacking(t *testing.T) {
+// A body compressed in any way decompresses to the same bytes. Altered bodies are refused, and so are small bodies that expand,
+// or claim to expand, to more than the limit.
+func TestCompression(t *testing.T) {
 	r := rand.New(rand.NewSource(1))
 	text := make([]byte, 100000)
 	for i := range text {
@@ -175,61 +184,64 @@
 	}
 	for _, method := range []string{"LZ4", "ZSTD"} {
 		for _, encoding := range []string{"", "gzip", "zstd", "lz4"} {
-			b, err := packed(text, encoding, true, method)
+			compressed, err := compressBody(text, encoding, true, method)
 			if err != nil {
 				t.Fatal(err)
 			}
-			got, err := unpacked(encoding, true, b, len(text))
+			got, err := decompressBody(encoding, true, compressed, len(text))
 			if err != nil || !bytes.Equal(got, text) {
 				t.Errorf("%s %s: %d bytes, %v", method, encoding, len(got), err)
 			}
-			if _, err := unpacked(encoding, true, b, len(text)-1); err == nil {
-				t.Errorf("%s %s: over the bound", method, encoding)
+			if _, err := decompressBody(encoding, true, compressed, len(text)-1); err == nil {
+				t.Errorf("%s %s: accepted although over the limit", method, encoding)
 			}
-			b[len(b)/2] ^= 1
-			if got, err := unpacked(encoding, true, b, len(text)); err == nil {
-				t.Errorf("%s %s: altered, and %d bytes are taken", method, encoding, len(got))
+			compressed[len(compressed)/2] ^= 1
+			if got, err := decompressBody(encoding, true, compressed, len(text)); err == nil {
+				t.Errorf("%s %s: accepted although altered: %d bytes", method, encoding, len(got))
 			}
 		}
 	}
 	zeros := make([]byte, 64<<20)
-	var g, z, l bytes.Buffer
-	gw := gzip.NewWriter(&g)
+	var gzipBomb, zstdBomb, lz4Bomb bytes.Buffer
+	gw := gzip.NewWriter(&gzipBomb)
 	_, _ = gw.Write(zeros)
 	_ = gw.Close()
-	zw, _ := zstd.NewWriter(&z)
+	zw, _ := zstd.NewWriter(&zstdBomb)
 	_, _ = zw.Write(zeros)
 	_ = zw.Close()
-	lw := lz4.NewWriter(&l)
+	lw := lz4.NewWriter(&lz4Bomb)
 	_, _ = lw.Write(zeros)
 	_ = lw.Close()
 	w := compress.NewWriter(compress.LevelZero, compress.LZ4)
 	if err := w.Compress(zeros); err != nil {
 		t.Fatal(err)
 	}
-	for encoding, bomb := range map[string][]byte{"gzip": g.Bytes(), "zstd": z.Bytes(), "lz4": l.Bytes(), "": w.Data} {
+	for encoding, bomb := range map[string][]byte{"gzip": gzipBomb.Bytes(), "zstd": zstdBomb.Bytes(), "lz4": lz4Bomb.Bytes(),
+		"": w.Data} {
 		var e *exception
-		if _, err := unpacked(encoding, encoding == "", bomb, 1<<20); !errors.As(err, &e) || e.code != codeTooLarge {
-			t.Errorf("a bomb of %d bytes by %q: %v", len(bomb), encoding, err)
+		if _, err := decompressBody(encoding, encoding == "", bomb, 1<<20); !errors.As(err, &e) || e.code != codeTooLarge {
+			t.Errorf("decompression bomb of %d bytes, encoding %q: %v", len(bomb), encoding, err)
 		}
 	}
-	lie := append(make([]byte, 16), 0x82)
-	lie = binary.LittleEndian.AppendUint32(binary.LittleEndian.AppendUint32(lie, 9), 1<<31-1)
-	if _, err := unpacked("", true, lie, 1<<20); err == nil {
-		t.Error("a block that claims 2 GB is taken")
+	falseHeader := append(make([]byte, 16), 0x82)
+	falseHeader = binary.LittleEndian.AppendUint32(binary.LittleEndian.AppendUint32(falseHeader, 9), 1<<31-1)
+	if _, err := decompressBody("", true, falseHeader, 1<<20); err == nil {
+		t.Error("a block that claims to need 2 GB was accepted")
 	}
 }
 
-// FORMAT is found where it is a clause, and nowhere else.
+// FORMAT is recognized only where it is a clause of the query.
 func TestFormatClause(t *testing.T) {
 	for text, want := range map[string]string{
-		"SELECT 1 FORMAT JSON": "JSON", "select 1 format CSV settings a = 1": "CSV", "SELECT 'FORMAT JSON'": "", "SELECT 1 -- FORMAT JSON": "",
-		"SELECT (SELECT 1 FORMAT JSON)": "", "INSERT INTO t FORMAT CSV 1,2": "", "SELECT format('a', 1)": "", "SELECT 1 FORMAT JSON;": "JSON",
+		"SELECT 1 FORMAT JSON": "JSON", "select 1 format CSV settings a = 1": "CSV", "SELECT 'FORMAT JSON'": "",
+		"SELECT 1 -- FORMAT JSON": "", "SELECT (SELECT 1 FORMAT JSON)": "", "INSERT INTO t FORMAT CSV 1,2": "",
+		"SELECT format('a', 1)": "", "SELECT 1 FORMAT JSON;": "JSON",
 		"SELECT a AS format FROM t": "",
 	} {
-		got, at, ok := shape.FindFormatClause(text)
-		if ok != (want != "") || ok && (got != want || !strings.HasPrefix(strings.ToUpper(text[at.Start:at.End]), "FORMAT ")) {
-			t.Errorf("%s: %q %v %v", text, got, at, ok)
+		got, clause, ok := shape.FindFormatClause(text)
+		if ok != (want != "") ||
+			ok && (got != want || !strings.HasPrefix(strings.ToUpper(text[clause.Start:clause.End]), "FORMAT ")) {
+			t.Errorf("%s: %q %v %v", text, got, clause, ok)
 		}
 	}
 }
--- a/internal/chhttp/front.go
+++ b/internal/chhttp/front.go
@@ -1,5 +1,5 @@
-// Package chhttp speaks ClickHouse's HTTP interface to clients. A Session is the object behind a client's connection: it
-// takes one request after another, and what it makes of them goes to the same coordinator as that of other protocols.
+// Package chhttp serves ClickHouse's HTTP interface to clients. A Session handles one client connection: it reads one request
+// after another and passes the queries to the same coordinator as the other protocols do.
 package chhttp
 
 import (
@@ -7,7 +7,6 @@
 	"fmt"
 	"math"
 	"math/rand"
-
 	"strconv"
 	"strings"
 
@@ -21,23 +20,23 @@
 	"thymeway/internal/tally"
 )
 
-// Limits of what a session may take from the others, times in ms.
+// Limits on the resources that one session may use. Times are in ms.
 const (
-	headWithin  = 2300.0   // from connecting to the first whole head, and for each later one from its first byte
-	bodyWithin  = 2300.0   // for a body, and ...
-	bodyPace    = 1 << 20  // ... for each so many bytes of it as long again
-	mostHead    = 64 << 10 // bytes: a query may stand in the target
-	mostFields  = 100
-	mostATurn   = 16      // requests handled in one turn
-	mostUnread  = 4 << 20 // bytes that a client may leave unread, beyond its last answer
-	mostFaults  = 32      // faulty requests in a row before the connection is ended
-	faultsFree  = 4       // of them, answered as fast as they come
-	faultPause  = 50.0
-	marginMost  = 0.1 // share of a client's limit that the margin for the way back may take
-	refusedWait = 500 // ms that a client is told to wait where nothing else is known
+	headTimeout         = 2300.0   // for the first head from connecting, for each later one from its first byte
+	bodyTimeout         = 2300.0   // for the body of a request
+	bodyBytesPerTimeout = 1 << 20  // bodyTimeout is granted once more for each of these units in the body
+	maxHeadBytes        = 64 << 10 // the URL in the head may contain the query
+	maxHeadFields       = 100
+	maxRequestsPerTurn  = 16      // event-loop turn
+	maxUnreadBytes      = 4 << 20 // that a client may leave unread, not counting its latest answer
+	maxFaultsInARow     = 32      // invalid requests, before the connection is closed
+	undelayedFaults     = 4       // invalid requests in a row that are answered without faultPause
+	faultPause          = 50.0    // before the next request is read, after an invalid one
+	maxMarginShare      = 0.1     // of the client's time limit that Server.Margin may use up
+	defaultRetryAfter   = 500     // not used: a refusal without advice has no Retry-After
 )
 
-// Coordinator is the side that takes the requests.
+// Coordinator accepts the requests of the sessions. coordinator.Coordinator implements it.
 type Coordinator interface {
 	Check(r *coordinator.Request) error
 	Recognise(r *coordinator.Request)
@@ -45,403 +44,411 @@
 	Drop(r *coordinator.Request)
 }
 
-// Front is all sessions of the protocol.
-type Front struct {
-	Coordinator Coordinator
-	Deadlines   *deadline.Queue
-	Faults      *tally.FaultLog
-	Now         func() float64
-	Margin      float64 // ms by which an answer is due before the client's limit: the way back
-	Seats       *seats.Limiter
-	Random      *rand.Rand
-	Config      config.Config
-	MostHeld    int  // bytes of requests that all sessions may hold together; 0: no bound
-	Leaving     bool // new queries are refused
+// Server holds all sessions of the protocol. Its methods are called from the event loop.
+type Server struct {
+	Coordinator  Coordinator
+	Deadlines    *deadline.Queue
+	Faults       *tally.FaultLog
+	Now          func() float64
+	Margin       float64 // ms by which the deadline is earlier than the client's time limit, for sending the answer
+	ConnLimiter  *seats.Limiter
+	Random       *rand.Rand
+	Config       config.Config
+	MaxHeldBytes int  // bytes of requests that all sessions together may hold; 0: no limit
+	ShuttingDown bool // new queries are refused
 
-	started float64
-	held    int // bytes that sessions hold
-	all     map[*Session]bool
-	queries map[string]*Session // open ones by query_id
-	locks   map[string]*Session // session_id and user -> whose query runs
+	startedAt    float64
+	heldBytes    int // by all sessions
+	sessions     map[*Session]bool
+	queries      map[string]*Session // sessions with an open query, by its query_id
+	sessionLocks map[string]*Session // sessions with an open query, by its user and session_id
 }
 
-// Start makes the front ready.
-func (f *Front) Start() {
-	f.started = f.Now()
-	f.all, f.queries, f.locks = map[*Session]bool{}, map[string]*Session{}, map[string]*Session{}
+// Start initializes the server. It must be called before Accept.
+func (srv *Server) Start() {
+	srv.startedAt = srv.Now()
+	srv.sessions, srv.queries, srv.sessionLocks = map[*Session]bool{}, map[string]*Session{}, map[string]*Session{}
 }
 
-// Pending is the number of bytes on their way to all clients that the system has not taken yet.
-func (f *Front) Pending() (n int) {
-	for s := range f.all {
-		n += s.c.Pending()
+// Pending returns the number of bytes written to all clients that the operating system has not accepted yet.
+func (srv *Server) Pending() (n int) {
+	for s := range srv.sessions {
+		n += s.conn.Pending()
 	}
 	return n
 }
 
-// Session is one client's connection.
+// Session is the connection of one client.
 type Session struct {
-	f       *Front
-	c       link.Conn
-	seat    *seats.Slot
-	excess  bool
-	closed  bool
-	busy    bool // requests are being handled
-	paused  bool
-	faults  int // in a row
-	buf     []byte
-	head    *http1.Head // of the request whose body is coming
-	body    *http1.BodyDecoder
-	got     []byte
-	holds   int     // bytes that count for it
-	q       *query  // the open one
-	sent    float64 // when it was taken
-	begun   bool    // the head of its answer has gone out, for progress
-	lastly  bool    // the connection ends with the open answer
-	served  uint64  // requests
-	late    deadline.Entry
-	again   deadline.Entry
-	resting deadline.Entry // the end of an idle connection
-}
-
-// Accept makes the object behind a new connection.
-func (f *Front) Accept() *Session {
-	s := &Session{f: f}
-	s.late.Do = func() {
-		f.Faults.Add("client-slow", "protocol", "clickhouse")
-		s.refuse(408, except(codeProtocol, "no whole request in time"))
-	}
-	s.again.Do = func() {
+	server           *Server
+	conn             link.Conn
+	slot             *seats.Slot
+	excess           bool // the connection is beyond the limit, so its queries are refused
+	closed           bool
+	processing       bool        // processInput is running
+	paused           bool        // no request is handled until resumeTimer fires
+	faultsInARow     int         // consecutive invalid requests
+	input            []byte      // received, but not parsed yet
+	head             *http1.Head // of the request whose body is being received
+	body             *http1.BodyDecoder
+	received         []byte         // of the body
+	countedBytes     int            // included in the server's heldBytes
+	query            *query         // the open query, if any
+	queryStartedAt   float64        // when the open query was accepted
+	headSent         bool           // the status line of its answer was sent, ahead of progress headers
+	closeAfterAnswer bool           // the connection is closed after the next answer
+	requestCount     uint64         // requests received completely
+	requestTimer     deadline.Entry // limits the time for receiving a request
+	resumeTimer      deadline.Entry // ends a pause
+	idleTimer        deadline.Entry // closes an idle connection
+}
+
+// Accept creates the session of a new connection.
+func (srv *Server) Accept() *Session {
+	s := &Session{server: srv}
+	s.requestTimer.Do = func() {
+		srv.Faults.Add("client-slow", "protocol", "clickhouse")
+		s.refuseAndClose(408, newException(codeProtocol, "no whole request in time"))
+	}
+	s.resumeTimer.Do = func() {
 		s.paused = false
-		s.proceed()
+		s.processInput()
 	}
-	s.resting.Do = s.close
+	s.idleTimer.Do = s.close
 	return s
 }
 
-// Opened comes first.
+// Opened is called when the connection is established, before the other methods.
 func (s *Session) Opened(c link.Conn) {
-	s.c = c
-	s.f.all[s] = true
+	s.conn = c
+	s.server.sessions[s] = true
 	ok := false
-	if s.seat, s.excess, ok = s.f.Seats.Acquire(s); !ok {
+	if s.slot, s.excess, ok = s.server.ConnLimiter.Acquire(s); !ok {
 		s.close()
 		return
 	}
-	s.f.Deadlines.Set(&s.late, s.f.Now()+headWithin)
-	s.seat.MarkUnused()
+	s.server.Deadlines.Set(&s.requestTimer, s.server.Now()+headTimeout)
+	s.slot.MarkUnused()
 }
 
-// Quiet and Push are for the seat.
-func (s *Session) InputEmpty() bool { return s.c.Idle() }
+// InputEmpty reports whether the connection is open and all received data has been read, as seats.Connection requires.
+func (s *Session) InputEmpty() bool { return s.conn.Idle() }
 
-// Push makes the session give way.
+// Evict closes the connection in favor of another one.
 func (s *Session) Evict() { s.close() }
 
-// Received takes bytes, however they are cut.
+// Received processes bytes from the client, however they are split.
 func (s *Session) Received(b []byte) {
 	if s.closed {
 		return
 	}
-	s.seat.MarkBusy()
-	s.f.Deadlines.Cancel(&s.resting)
-	s.buf = append(s.buf, b...)
-	if !s.hold(s.weight()) {
-		s.noRoom()
+	s.slot.MarkBusy()
+	s.server.Deadlines.Cancel(&s.idleTimer)
+	s.input = append(s.input, b...)
+	if !s.reserveBytes(s.neededBytes()) {
+		s.refuseForMemory()
 		return
 	}
-	s.proceed()
+	s.processInput()
 }
 
-// proceed handles the requests that have come whole. Those behind an open one wait for its answer.
-func (s *Session) proceed() {
-	if s.busy || s.closed { // danger: an answer given at once would handle the same bytes again
+// processInput handles the requests that are complete. Requests behind an open query wait for its answer.
+func (s *Session) processInput() {
+	// Danger: a query that is answered immediately causes a nested call, which would handle the same bytes again.
+	if s.processing || s.closed {
 		return
 	}
-	s.busy = true
-	defer func() { s.busy = false }()
-	f := s.f
-	for n := 0; s.q == nil && !s.closed && !s.paused; n++ {
-		if n == mostATurn { // danger: others wait for this turn to end
+	s.processing = true
+	defer func() { s.processing = false }()
+	srv := s.server
+	for n := 0; s.query == nil && !s.closed && !s.paused; n++ {
+		if n == maxRequestsPerTurn { // danger: all other connections wait until this event-loop turn ends
 			s.pause(0)
 			break
 		}
-		if !s.next() {
+		if !s.readNext() {
 			break
 		}
 	}
 	if s.closed {
 		return
 	}
-	s.hold(s.weight()) // it is less than before
-	switch most := mostHead + f.Config.Local.ClickHouse.MaxBodyBytes; {
-	case len(s.buf) > most: // danger: a client that writes on and on behind an open request
-		s.refuse(413, except(codeTooLarge, "over %d bytes behind an open request", most))
-	case s.q == nil && s.head == nil && len(s.buf) == 0:
-		s.buf = nil
-		f.Deadlines.Cancel(&s.late)
-		if s.served > 0 {
-			s.seat.MarkIdle()
-			f.Deadlines.Set(&s.resting, f.Now()+f.Config.Local.ClickHouse.KeepAlive)
+	s.reserveBytes(s.neededBytes()) // not checked, as fewer bytes are usually needed than before
+	switch maxInput := maxHeadBytes + srv.Config.Local.ClickHouse.MaxBodyBytes; {
+	case len(s.input) > maxInput: // danger: a client that keeps writing behind an open request would use up the memory
+		s.refuseAndClose(413, newException(codeTooLarge, "over %d bytes behind an open request", maxInput))
+	case s.query == nil && s.head == nil && len(s.input) == 0:
+		s.input = nil
+		srv.Deadlines.Cancel(&s.requestTimer)
+		if s.requestCount > 0 {
+			s.slot.MarkIdle()
+			srv.Deadlines.Set(&s.idleTimer, srv.Now()+srv.Config.Local.ClickHouse.KeepAlive)
 		} else {
-			f.Deadlines.Set(&s.late, f.Now()+headWithin)
+			srv.Deadlines.Set(&s.requestTimer, srv.Now()+headTimeout)
 		}
-	case s.q == nil && !s.late.Scheduled():
-		f.Deadlines.Set(&s.late, f.Now()+headWithin)
+	case s.query == nil && !s.requestTimer.Scheduled():
+		srv.Deadlines.Set(&s.requestTimer, srv.Now()+headTimeout)
 	}
 }
 
-// next takes the next part of a request, and tells whether there was one.
-func (s *Session) next() bool {
-	f := s.f
+// readNext parses the input, and handles the request if it is complete. It returns false if it did not handle a request.
+func (s *Session) readNext() bool {
+	srv := s.server
 	if s.head == nil {
-		h, n, err := http1.ParseRequest(s.buf, http1.Limits{MaxBytes: mostHead, MaxFields: mostFields})
+		head, n, err := http1.ParseRequest(s.input, http1.Limits{MaxBytes: maxHeadBytes, MaxFields: maxHeadFields})
 		if errors.Is(err, http1.ErrIncomplete) {
 			return false
 		}
 		if err == nil {
-			s.body, err = h.NewBodyDecoder(int64(f.Config.Local.ClickHouse.MaxBodyBytes))
+			s.body, err = head.NewBodyDecoder(int64(srv.Config.Local.ClickHouse.MaxBodyBytes))
 		}
 		if err != nil {
-			s.garbled(err)
+			s.refuseMalformed(err)
 			return false
 		}
-		s.head, s.buf = h, s.buf[n:]
-		s.got = nil
-		if e := h.Get("expect"); e != "" {
-			if !strings.EqualFold(e, "100-continue") {
-				s.refuse(417, except(codeProtocol, "expectation %.40q", e))
+		s.head, s.input = head, s.input[n:]
+		s.received = nil
+		if expectation := head.Get("expect"); expectation != "" {
+			if !strings.EqualFold(expectation, "100-continue") {
+				s.refuseAndClose(417, newException(codeProtocol, "expectation %.40q", expectation))
 				return false
 			}
 			if !s.body.Done() {
-				s.c.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
+				s.conn.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 			}
 		}
 		if !s.body.Done() {
-			within := bodyWithin * (1 + float64(max(h.ContentLength, 0))/bodyPace)
-			f.Deadlines.Set(&s.late, f.Now()+within)
+			timeout := bodyTimeout * (1 + float64(max(head.ContentLength, 0))/bodyBytesPerTimeout)
+			srv.Deadlines.Set(&s.requestTimer, srv.Now()+timeout)
 		}
 	}
-	if !s.hold(s.weight()) {
-		s.noRoom()
+	if !s.reserveBytes(s.neededBytes()) {
+		s.refuseForMemory()
 		return false
 	}
-	got, used, err := s.body.DecodeAll(s.got, s.buf)
-	s.got, s.buf = got, s.buf[used:]
+	received, used, err := s.body.DecodeAll(s.received, s.input)
+	s.received, s.input = received, s.input[used:]
 	if err != nil {
-		s.garbled(err)
+		s.refuseMalformed(err)
 		return false
 	}
 	if !s.body.Done() {
-		if len(s.buf) > 0 { // keep no more than what is left
-			s.buf = append([]byte(nil), s.buf...)
+		if len(s.input) > 0 { // a copy, so that the parsed part is freed
+			s.input = append([]byte(nil), s.input...)
 		} else {
-			s.buf = s.buf[:0:0]
+			s.input = s.input[:0:0]
 		}
 		return false
 	}
-	s.buf = append([]byte(nil), s.buf...)
-	f.Deadlines.Cancel(&s.late)
-	h, body := s.head, s.got
-	s.head, s.body, s.got = nil, nil, nil
-	s.served++
-	s.lastly = h.Close
-	s.handle(h, body)
+	s.input = append([]byte(nil), s.input...)
+	srv.Deadlines.Cancel(&s.requestTimer)
+	head, body := s.head, s.received
+	s.head, s.body, s.received = nil, nil, nil
+	s.requestCount++
+	s.closeAfterAnswer = head.Close
+	s.handleRequest(head, body)
 	return true
 }
 
-// weight is how many bytes a session holds, or will: what waits to be read, a body that is coming, an open query.
-func (s *Session) weight() int {
-	n := len(s.buf)
+// neededBytes returns the number of bytes that the session holds or is about to receive: unparsed input, the body of a request,
+// an open query.
+func (s *Session) neededBytes() int {
+	n := len(s.input)
 	if s.head != nil {
-		n += max(int(s.head.ContentLength)-len(s.buf), len(s.got))
+		n += max(int(s.head.ContentLength)-len(s.input), len(s.received))
 	}
-	if s.q != nil {
-		n += len(s.q.Statement)
+	if s.query != nil {
+		n += len(s.query.Statement)
 	}
 	return n
 }
 
-// noRoom tells a client that its bytes find no room beside those of others.
-func (s *Session) noRoom() {
-	s.refuse(503, except(codeMemory, "the requests of all clients take what memory there is for them"))
+// refuseForMemory refuses a request because all sessions together hold too many bytes.
+func (s *Session) refuseForMemory() {
+	s.refuseAndClose(503, newException(codeMemoryLimit, "the requests of all clients take what memory there is for them"))
 }
 
-// hold makes so many bytes count for the session, unless that is more than there is room for. Danger: what one client
-// sends is bounded, but what a few hundred send at once is not.
-func (s *Session) hold(n int) bool {
-	f := s.f
-	if n > s.holds && f.MostHeld > 0 && f.held-s.holds+n > f.MostHeld {
+// reserveBytes sets the session's share of the server's heldBytes, and returns false if that would exceed MaxHeldBytes. Danger:
+// the limits on one request do not bound the memory that the requests of a few hundred clients take together.
+func (s *Session) reserveBytes(count int) bool {
+	srv := s.server
+	if count > s.countedBytes && srv.MaxHeldBytes > 0 && srv.heldBytes-s.countedBytes+count > srv.MaxHeldBytes {
 		return false
 	}
-	f.held += n - s.holds
-	s.holds = n
+	srv.heldBytes += count - s.countedBytes
+	s.countedBytes = count
 	return true
 }
 
-func (s *Session) pause(span float64) {
+// pause stops the handling of requests for a duration in ms.
+func (s *Session) pause(duration float64) {
 	s.paused = true
-	s.f.Deadlines.Set(&s.again, s.f.Now()+span)
+	s.server.Deadlines.Set(&s.resumeTimer, s.server.Now()+duration)
 }
 
-// garbled ends a connection whose bytes can't be read.
-func (s *Session) garbled(err error) {
+// refuseMalformed answers a request that can't be parsed, and closes the connection.
+func (s *Session) refuseMalformed(err error) {
 	status := 400
-	var f *http1.ProtocolError
-	if errors.As(err, &f) {
-		status = f.Status
+	var fault *http1.ProtocolError
+	if errors.As(err, &fault) {
+		status = fault.Status
 	}
-	s.f.Faults.Add("client-garbled", "protocol", "clickhouse", "error", err)
-	s.refuse(status, except(codeProtocol, "%v", err))
+	s.server.Faults.Add("client-garbled", "protocol", "clickhouse", "error", err)
+	s.refuseAndClose(status, newException(codeProtocol, "%v", err))
 }
 
-// refuse answers what can't be read, and ends the connection. What still comes is not read. Danger: a query that is
-// open there is dropped, or its answer would come to a session that has none.
-func (s *Session) refuse(status int, err error) {
-	s.abandon()
-	s.lastly = true
-	s.fail(status, err, nil)
+// refuseAndClose answers with an exception and closes the connection without reading further input. Danger: an open query has
+// to be dropped first, or its answer would be delivered to a session without a query.
+func (s *Session) refuseAndClose(status int, err error) {
+	s.dropQuery()
+	s.closeAfterAnswer = true
+	s.writeException(status, err, nil)
 }
 
-func (s *Session) handle(h *http1.Head, body []byte) {
-	f := s.f
-	if h.Method != "GET" && h.Method != "POST" && h.Method != "HEAD" {
-		s.lastly = true
-		s.answer(501, mediaPlain, nil, []byte("There is no handle for method "+h.Method+"\n"), h.Method == "HEAD")
+// handleRequest answers a complete request, or passes its query to the coordinator.
+func (s *Session) handleRequest(head *http1.Head, body []byte) {
+	srv := s.server
+	if head.Method != "GET" && head.Method != "POST" && head.Method != "HEAD" {
+		s.closeAfterAnswer = true
+		s.writeAnswer(501, mediaPlain, nil, []byte("There is no handle for method "+head.Method+"\n"), head.Method == "HEAD")
 		return
 	}
-	path, _, _ := strings.Cut(h.Target, "?")
+	path, _, _ := strings.Cut(head.Target, "?")
 	switch path {
 	case "/ping", "/replicas_status":
-		s.answer(200, mediaPlain, nil, []byte("Ok.\n"), h.Method == "HEAD")
+		s.writeAnswer(200, mediaPlain, nil, []byte("Ok.\n"), head.Method == "HEAD")
 		return
 	case "/":
 	default:
-		s.answer(404, mediaPlain, nil, []byte("There is no handle "+path+"\n\nUse / or /ping for health checks.\n"), h.Method == "HEAD")
+		s.writeAnswer(404, mediaPlain, nil, []byte("There is no handle "+path+"\n\nUse / or /ping for health checks.\n"),
+			head.Method == "HEAD")
 		return
 	}
-	if h.Method == "GET" && h.Target == "/" && len(body) == 0 {
-		s.answer(200, mediaPlain, nil, []byte("Ok.\n"), false)
+	if head.Method == "GET" && head.Target == "/" && len(body) == 0 {
+		s.writeAnswer(200, mediaPlain, nil, []byte("Ok.\n"), false)
 		return
 	}
-	q, err := f.read(h, body)
+	q, err := srv.readQuery(head, body)
 	var local *result.Set
 	if err == nil {
-		if local, err = s.local(q); local == nil && err == nil {
-			err = s.admit(q)
+		if local, err = s.answerLocally(q); local == nil && err == nil {
+			err = s.checkAdmission(q)
 		}
 	}
 	if err != nil {
-		s.fault(err)
+		s.answerFault(err)
 		return
 	}
-	s.faults = 0
+	s.faultsInARow = 0
 	if local != nil {
-		s.q, s.sent = q, f.Now()
-		s.write(local)
+		s.query, s.queryStartedAt = q, srv.Now()
+		s.writeResult(local)
 		return
 	}
-	s.q, s.sent, s.begun = q, f.Now(), false
+	s.query, s.queryStartedAt, s.headSent = q, srv.Now(), false
 	if q.id == "" {
-		q.id = fmt.Sprintf("%08x-%04x-4%03x-8%03x-%012x", f.Random.Uint32(), f.Random.Intn(1<<16), f.Random.Intn(1<<12), f.Random.Intn(1<<12), f.Random.Int63n(1<<48))
+		q.id = fmt.Sprintf("%08x-%04x-4%03x-8%03x-%012x", srv.Random.Uint32(), srv.Random.Intn(1<<16), srv.Random.Intn(1<<12),
+			srv.Random.Intn(1<<12), srv.Random.Int63n(1<<48))
 	}
-	f.queries[q.id] = s
-	if q.session != "" {
-		f.locks[q.user+"\x00"+q.session] = s
+	srv.queries[q.id] = s
+	if q.sessionID != "" {
+		srv.sessionLocks[q.user+"\x00"+q.sessionID] = s
 	}
-	q.Deadline = f.Now() + q.limit - math.Min(f.Margin, q.limit*marginMost)
+	q.Deadline = srv.Now() + q.timeLimit - math.Min(srv.Margin, q.timeLimit*maxMarginShare)
 	q.Client, q.Protocol = s, "clickhouse"
-	f.Coordinator.Take(q.Request)
+	srv.Coordinator.Take(q.Request)
 }
 
-// local answers what runs nowhere: greetings, and KILL QUERY for queries of the same member here.
-func (s *Session) local(q *query) (*result.Set, error) {
-	if set, ok := s.f.greet(q.ClickHouse.Text); ok {
+// answerLocally returns the result of a query that needs no engine: a query about the server, or KILL QUERY for an open query of
+// the same tenant. The result is nil for all other queries.
+func (s *Session) answerLocally(q *query) (*result.Set, error) {
+	if set, ok := s.server.answerServerInfo(q.ClickHouse.Text); ok {
 		return set, nil
 	}
-	id, ok := killed(q.Statement)
+	id, ok := killedQueryID(q.Statement)
 	if !ok {
 		return nil, nil
 	}
-	set := &result.Set{Escaped: true, Columns: []result.Column{{Name: "kill_status", Type: "String"}, {Name: "query_id", Type: "String"}, {Name: "user", Type: "String"}, {Name: "query", Type: "String"}}}
-	if o := s.f.queries[id]; o != nil && o.q.Tenant == q.Tenant {
+	set := &result.Set{Escaped: true, Columns: []result.Column{{Name: "kill_status", Type: "String"},
+		{Name: "query_id", Type: "String"}, {Name: "user", Type: "String"}, {Name: "query", Type: "String"}}}
+	if target := s.server.queries[id]; target != nil && target.query.Tenant == q.Tenant {
 		row := append([]byte("waiting\t"), result.Escape(nil, []byte(id))...)
-		row = append(append(row, '\t'), result.Escape(nil, []byte(o.q.user))...)
-		row = append(append(row, '\t'), result.Escape(nil, []byte(o.q.ClickHouse.Text))...)
+		row = append(append(row, '\t'), result.Escape(nil, []byte(target.query.user))...)
+		row = append(append(row, '\t'), result.Escape(nil, []byte(target.query.ClickHouse.Text))...)
 		set.Pages = [][]byte{append(row, '\n')}
-		o.abandon()
-		o.fail(0, except(codeCanceled, "Query was cancelled"), nil)
-		o.proceed()
+		target.dropQuery()
+		target.writeException(0, newException(codeCanceled, "Query was cancelled"), nil)
+		target.processInput()
 	}
 	return set, nil
 }
 
-// admit tells what keeps a query from being taken now.
-func (s *Session) admit(q *query) error {
-	f := s.f
+// checkAdmission returns an error if a query can't be accepted now.
+func (s *Session) checkAdmission(q *query) error {
+	srv := s.server
 	switch {
-	case f.Leaving:
-		s.lastly = true
-		return except(codeAborted, "the coordinator shuts down")
-	case s.excess: // it never goes out, so a new try is harmless
-		s.lastly = true
-		return except(codeTooMany, "Too many connections")
-	case q.id != "" && f.queries[q.id] != nil:
-		return except(codeSameID, "Query with id = %s is already running.", q.id)
-	case q.session != "" && f.locks[q.user+"\x00"+q.session] != nil:
-		return except(codeLocked, "Session %s is locked by a concurrent client.", q.session)
+	case srv.ShuttingDown:
+		s.closeAfterAnswer = true
+		return newException(codeAborted, "the coordinator shuts down")
+	case s.excess: // the query is not sent to any engine, so a retry is harmless
+		s.closeAfterAnswer = true
+		return newException(codeTooManyQueries, "Too many connections")
+	case q.id != "" && srv.queries[q.id] != nil:
+		return newException(codeDuplicateQueryID, "Query with id = %s is already running.", q.id)
+	case q.sessionID != "" && srv.sessionLocks[q.user+"\x00"+q.sessionID] != nil:
+		return newException(codeSessionLocked, "Session %s is locked by a concurrent client.", q.sessionID)
 	}
 	return nil
 }
 
-// fault answers a request that can't be used.
-func (s *Session) fault(err error) {
-	s.f.Faults.Add("client-fault", "protocol", "clickhouse", "error", err)
-	if s.faults++; s.faults > mostFaults {
-		s.lastly = true
+// answerFault answers an invalid request. After several in a row it delays the next request, and finally closes the connection.
+func (s *Session) answerFault(err error) {
+	s.server.Faults.Add("client-fault", "protocol", "clickhouse", "error", err)
+	if s.faultsInARow++; s.faultsInARow > maxFaultsInARow {
+		s.closeAfterAnswer = true
 	}
-	s.fail(0, err, nil)
-	if s.faults > faultsFree && !s.closed {
+	s.writeException(0, err, nil)
+	if s.faultsInARow > undelayedFaults && !s.closed {
 		s.pause(faultPause)
 	}
 }
 
-// abandon drops the open query: its client has left, or wants it no more.
-func (s *Session) abandon() {
-	if q := s.release(); q != nil {
-		s.f.Coordinator.Drop(q.Request)
+// dropQuery drops the open query, if any, as its client has disconnected or does not want the answer any more.
+func (s *Session) dropQuery() {
+	if q := s.detachQuery(); q != nil {
+		s.server.Coordinator.Drop(q.Request)
 	}
 }
 
-// release takes the open query off the session.
-func (s *Session) release() *query {
-	q := s.q
+// detachQuery removes the open query from the session and returns it, or nil if there is none.
+func (s *Session) detachQuery() *query {
+	q := s.query
 	if q == nil {
 		return nil
 	}
-	s.q = nil
-	s.hold(s.weight())
-	if s.f.queries[q.id] == s {
-		delete(s.f.queries, q.id)
+	s.query = nil
+	s.reserveBytes(s.neededBytes())
+	if s.server.queries[q.id] == s {
+		delete(s.server.queries, q.id)
 	}
-	if k := q.user + "\x00" + q.session; s.f.locks[k] == s {
-		delete(s.f.locks, k)
+	if lockKey := q.user + "\x00" + q.sessionID; s.server.sessionLocks[lockKey] == s {
+		delete(s.server.sessionLocks, lockKey)
 	}
 	return q
 }
 
 const mediaPlain = "text/plain; charset=UTF-8"
 
-// answer writes a whole answer.
-func (s *Session) answer(status int, media string, fields [][2]string, body []byte, headOnly bool) {
+// writeAnswer writes a complete answer, or its remainder if progress headers were sent before.
+func (s *Session) writeAnswer(status int, contentType string, fields [][2]string, body []byte, headOnly bool) {
 	var b []byte
-	if !s.begun {
-		b = head(status, media, s.lastly)
+	if !s.headSent {
+		b = answerHead(status, contentType, s.closeAfterAnswer)
 	}
-	for _, x := range fields {
-		b = append(b, x[0]+": "+x[1]+"\r\n"...)
+	for _, field := range fields {
+		b = append(b, field[0]+": "+field[1]+"\r\n"...)
 	}
-	if s.begun { // its status has gone out; the rest is in chunks
+	if s.headSent { // the status line was sent, so the body follows in chunks
 		b = append(b, "Transfer-Encoding: chunked\r\n\r\n"...)
 		if len(body) > 0 {
 			b = append(fmt.Appendf(b, "%x\r\n", len(body)), body...)
@@ -449,8 +456,8 @@
 		}
 		if status == 200 {
 			b = append(b, "0\r\n\r\n"...)
-		} else { // danger: with its end, a failed answer would pass for a short good one
-			s.lastly = true
+		} else { // danger: with its last chunk, a failed answer would be taken for a short successful one
+			s.closeAfterAnswer = true
 		}
 	} else {
 		b = fmt.Appendf(b, "Content-Length: %d\r\n\r\n", len(body))
@@ -458,156 +465,161 @@
 			b = append(b, body...)
 		}
 	}
-	s.begun = false
-	s.c.Write(b)
-	if s.lastly {
+	s.headSent = false
+	s.conn.Write(b)
+	if s.closeAfterAnswer {
 		s.close()
-	} else if s.c.Pending() > mostUnread+len(b) {
-		s.f.Faults.Add("client-deaf", "protocol", "clickhouse")
+	} else if s.conn.Pending() > maxUnreadBytes+len(b) {
+		s.server.Faults.Add("client-deaf", "protocol", "clickhouse")
 		s.close()
 	}
 }
 
-var reasons = map[int]string{200: "OK", 400: "Bad Request", 403: "Forbidden", 404: "Not Found", 408: "Request Timeout", 413: "Payload Too Large",
-	417: "Expectation Failed", 423: "Locked", 431: "Request Header Fields Too Large", 500: "Internal Server Error", 501: "Not Implemented",
-	503: "Service Unavailable", 505: "HTTP Version Not Supported"}
+// reasonPhrases holds the reason phrases of all statuses in use.
+var reasonPhrases = map[int]string{200: "OK", 400: "Bad Request", 403: "Forbidden", 404: "Not Found", 408: "Request Timeout",
+	413: "Payload Too Large", 417: "Expectation Failed", 423: "Locked", 431: "Request Header Fields Too Large",
+	500: "Internal Server Error", 501: "Not Implemented", 503: "Service Unavailable", 505: "HTTP Version Not Supported"}
 
-// head is the begin of an answer.
-func head(status int, media string, last bool) []byte {
+// answerHead returns the first lines of an answer. closes states that the connection is closed afterwards.
+func answerHead(status int, contentType string, closes bool) []byte {
 	b := fmt.Appendf(nil, "HTTP/1.1 %d %s\r\nContent-Type: %s\r\nX-ClickHouse-Server-Display-Name: thymeway\r\nX-ClickHouse-Timezone: UTC\r\n",
-		status, reasons[status], media)
-	if last {
+		status, reasonPhrases[status], contentType)
+	if closes {
 		return append(b, "Connection: close\r\n"...)
 	}
 	return append(b, "Connection: Keep-Alive\r\n"...)
 }
 
-// fail answers with an exception; status 0 stands for that which goes with its code.
-func (s *Session) fail(status int, err error, fields [][2]string) {
-	var e *exception
-	if !errors.As(err, &e) {
-		e = &exception{codeProtocol, err.Error()}
+// writeException answers with an exception. Status 0 selects the status that belongs to the exception's code.
+func (s *Session) writeException(status int, err error, fields [][2]string) {
+	var ex *exception
+	if !errors.As(err, &ex) {
+		ex = &exception{codeProtocol, err.Error()}
 	}
-	c, known := codes[e.code]
-	if !known { // an engine's: its text has the name
-		c.status = 400
+	info, known := codes[ex.code]
+	if !known { // an engine's exception, whose text already contains its name
+		info.status = 400
 	}
 	if status == 0 {
-		status = c.status
+		status = info.status
 	}
-	q := s.release()
+	q := s.detachQuery()
 	if q != nil {
 		fields = append(fields, [2]string{"X-ClickHouse-Query-Id", q.id})
 	}
-	fields = append(fields, [2]string{"X-ClickHouse-Exception-Code", strconv.Itoa(e.code)})
-	text := strings.ToValidUTF8(e.text, "?")
+	fields = append(fields, [2]string{"X-ClickHouse-Exception-Code", strconv.Itoa(ex.code)})
+	text := strings.ToValidUTF8(ex.text, "?")
 	if known {
-		text += " (" + c.name + ") (version " + version + ")"
+		text += " (" + info.name + ") (version " + serverVersion + ")"
 	}
-	body := fmt.Appendf(nil, "Code: %d. DB::Exception: %s\n", e.code, text)
-	s.answer(status, mediaPlain, fields, body, q != nil && q.head)
+	body := fmt.Appendf(nil, "Code: %d. DB::Exception: %s\n", ex.code, text)
+	s.writeAnswer(status, mediaPlain, fields, body, q != nil && q.headOnly)
 }
 
-// Serve answers with a whole result.
-func (s *Session) Serve(r *result.Set) {
-	s.write(r)
-	s.proceed()
+// Serve answers the open query with its result.
+func (s *Session) Serve(set *result.Set) {
+	s.writeResult(set)
+	s.processInput()
 }
 
-func (s *Session) write(r *result.Set) {
-	q := s.q
-	q.options.elapsed = (s.f.Now() - s.sent) / 1000
-	fm := formats[q.format]
-	body, err := fm.write(nil, r, q.options)
+// writeResult answers the open query with a result in the requested format and compression.
+func (s *Session) writeResult(set *result.Set) {
+	q := s.query
+	q.options.elapsedSeconds = (s.server.Now() - s.queryStartedAt) / 1000
+	outputFormat := formats[q.format]
+	body, err := outputFormat.write(nil, set, q.options)
 	if err == nil {
-		body, err = packed(body, q.encoding, q.pack, q.parameter["network_compression_method"])
+		body, err = compressBody(body, q.contentEncoding, q.compressBlocks, q.parameters["network_compression_method"])
 	}
-	if err != nil { // it has run, and can't be told in the form that was asked for
-		s.f.Faults.Add("result-unwritable", "format", q.format, "error", err)
-		s.fail(0, except(codeUnsupported, "the result can't be written as %s: %v", q.format, err), nil)
+	if err != nil { // the query has run, but its result can't be represented in the requested format
+		s.server.Faults.Add("result-unwritable", "format", q.format, "error", err)
+		s.writeException(0, newException(codeNotImplemented, "the result can't be written as %s: %v", q.format, err), nil)
 		return
 	}
-	s.release()
+	s.detachQuery()
 	fields := [][2]string{{"X-ClickHouse-Format", q.format}, {"X-ClickHouse-Summary",
 		fmt.Sprintf(`{"read_rows":"%d","read_bytes":"%d","written_rows":"0","written_bytes":"0","total_rows_to_read":"0","result_rows":"%d","result_bytes":"%d","elapsed_ns":"%.0f"}`,
-			r.RowCount(), r.Size(), r.RowCount(), r.Size(), q.options.elapsed*1e9)}}
+			set.RowCount(), set.Size(), set.RowCount(), set.Size(), q.options.elapsedSeconds*1e9)}}
 	if q.id != "" {
 		fields = append(fields, [2]string{"X-ClickHouse-Query-Id", q.id})
 	}
-	if q.encoding != "" {
-		fields = append(fields, [2]string{"Content-Encoding", q.encoding}, [2]string{"Vary", "Accept-Encoding"})
+	if q.contentEncoding != "" {
+		fields = append(fields, [2]string{"Content-Encoding", q.contentEncoding}, [2]string{"Vary", "Accept-Encoding"})
 	}
-	s.answer(200, fm.media, fields, body, q.head)
+	s.writeAnswer(200, outputFormat.contentType, fields, body, q.headOnly)
 }
 
-// Refuse answers that a new try is harmless, and when to make it.
-func (s *Session) Refuse(comeBack float64) {
+// Refuse answers that the query has not run, so a retry is harmless. retryAfter is the advised pause in ms; 0: none.
+func (s *Session) Refuse(retryAfter float64) {
 	fields := [][2]string{}
-	if comeBack > 0 {
-		fields = append(fields, [2]string{"Retry-After", strconv.Itoa(int(math.Ceil(comeBack / 1000)))},
-			[2]string{"X-Retry-After-Ms", strconv.Itoa(int(math.Ceil(comeBack)))})
+	if retryAfter > 0 {
+		fields = append(fields, [2]string{"Retry-After", strconv.Itoa(int(math.Ceil(retryAfter / 1000)))},
+			[2]string{"X-Retry-After-Ms", strconv.Itoa(int(math.Ceil(retryAfter)))})
 	}
-	s.fail(0, except(codeTooMany, "Too many simultaneous queries: the engines have no room"), fields)
-	s.proceed()
+	s.writeException(0, newException(codeTooManyQueries, "Too many simultaneous queries: the engines have no room"), fields)
+	s.processInput()
 }
 
-// Fail answers without a promise.
-func (s *Session) Fail(why string) {
-	code := codeNoTries
-	if s.q != nil && s.f.Now() >= s.q.Deadline-s.f.Margin {
+// Fail answers that the query has failed. The answer does not state whether the query has run.
+func (s *Session) Fail(message string) {
+	code := codeNoConnection
+	if s.query != nil && s.server.Now() >= s.query.Deadline-s.server.Margin {
 		code = codeTimeout
 	}
-	// What an engine said of the query goes on with its own code.
-	if rest, ok := strings.CutPrefix(why, "Code: "); ok {
+	// An engine's exception is passed on with its own code.
+	if rest, ok := strings.CutPrefix(message, "Code: "); ok {
 		number, text, _ := strings.Cut(rest, ". DB::Exception: ")
 		if n, err := strconv.Atoi(number); err == nil && text != "" {
-			code, why = n, text
+			code, message = n, text
 		}
 	}
-	s.fail(0, except(code, "%s", why), nil)
-	s.proceed()
+	s.writeException(0, newException(code, "%s", message), nil)
+	s.processInput()
 }
 
-// Progress tells the client how far its query is, if it asked to hear.
+// Progress sends a progress header, if the client has asked for them. share is the part done, from 0 to 1.
 func (s *Session) Progress(share float64) {
-	if s.q == nil || !s.q.progress || s.closed || s.q.head {
+	if s.query == nil || !s.query.wantsProgress || s.closed || s.query.headOnly {
 		return
 	}
 	var b []byte
-	if !s.begun {
-		s.begun = true
-		b = head(200, formats[s.q.format].media, s.lastly)
+	if !s.headSent {
+		s.headSent = true
+		b = answerHead(200, formats[s.query.format].contentType, s.closeAfterAnswer)
 	}
-	const whole = 1000 // how many rows a query is said to have
+	const totalRows = 1000 // nominal, as only the share is known
 	b = fmt.Appendf(b, "X-ClickHouse-Progress: {\"read_rows\":\"%d\",\"read_bytes\":\"0\",\"total_rows_to_read\":\"%d\",\"elapsed_ns\":\"%.0f\"}\r\n",
-		int(math.Max(0, math.Min(share, 1))*whole), whole, (s.f.Now()-s.sent)*1e6)
-	s.c.Write(b)
+		int(math.Max(0, math.Min(share, 1))*totalRows), totalRows, (s.server.Now()-s.queryStartedAt)*1e6)
+	s.conn.Write(b)
 }
 
+// close closes the connection and ends the session.
 func (s *Session) close() {
 	if s.closed {
 		return
 	}
-	s.c.Close()
-	s.gone()
+	s.conn.Close()
+	s.cleanUp()
 }
 
-// Closed comes when the connection ends by itself: its client has left, and what it asked for serves no one.
+// Closed is called when the client has closed the connection or it has failed. Nobody needs the open query any more.
 func (s *Session) Closed(link.EndReason) {
 	if !s.closed {
-		s.gone()
+		s.cleanUp()
 	}
 }
 
-func (s *Session) gone() {
-	s.closed, s.buf, s.got, s.head = true, nil, nil, nil
-	delete(s.f.all, s)
-	s.seat.Release()
-	for _, e := range []*deadline.Entry{&s.late, &s.again, &s.resting} {
-		s.f.Deadlines.Cancel(e)
+// cleanUp ends a session whose connection is closed: it drops the open query and frees all that the session holds.
+func (s *Session) cleanUp() {
+	s.closed, s.input, s.received, s.head = true, nil, nil, nil
+	delete(s.server.sessions, s)
+	s.slot.Release()
+	for _, e := range []*deadline.Entry{&s.requestTimer, &s.resumeTimer, &s.idleTimer} {
+		s.server.Deadlines.Cancel(e)
 	}
-	s.abandon()
-	s.hold(0)
+	s.dropQuery()
+	s.reserveBytes(0)
 }
 
-func unescaped(s string) string { return string(result.Unescape(nil, []byte(s))) }
+// unescape decodes the escape sequences of a TabSeparated cell.
+func unescape(s string) string { return string(result.Unescape(nil, []byte(s))) }
--- a/internal/chhttp/front_test.go
+++ b/internal/chhttp/front_test.go
@@ -16,206 +16,221 @@
 	"thymeway/internal/tally"
 )
 
-// sink is the far side of a connection.
-type sink struct {
-	b      bytes.Buffer
+// fakeConn records what a session writes to its connection, and whether it was closed.
+type fakeConn struct {
+	output bytes.Buffer
 	closed bool
 }
 
-func (s *sink) Write(b []byte) { s.b.Write(b) }
-func (s *sink) Close()         { s.closed = true }
-func (s *sink) Pending() int   { return 0 }
-func (s *sink) Idle() bool     { return true }
-func (s *sink) CloseWrite()    {}
-func (s *sink) Abort()         { s.Close() }
+func (s *fakeConn) Write(b []byte) { s.output.Write(b) }
+func (s *fakeConn) Close()         { s.closed = true }
+func (s *fakeConn) Pending() int   { return 0 }
+func (s *fakeConn) Idle() bool     { return true }
+func (s *fakeConn) CloseWrite()    {}
+func (s *fakeConn) Abort()         { s.Close() }
 
-// taker takes requests and keeps them open.
-type taker struct {
+// fakeCoordinator accepts all requests and keeps them open.
+type fakeCoordinator struct {
 	book *shape.Catalog
 	open map[string]*coordinator.Request
 }
 
-func (t *taker) Check(*coordinator.Request) error { return nil }
-func (t *taker) Recognise(r *coordinator.Request) {
+func (t *fakeCoordinator) Check(*coordinator.Request) error { return nil }
+func (t *fakeCoordinator) Recognise(r *coordinator.Request) {
 	if r.Shape == nil {
 		r.Shape = t.book.Recognise(r.Statement, r.Dialect, 0)
 	}
 }
-func (t *taker) Take(r *coordinator.Request) { t.open[r.ID] = r }
-func (t *taker) Drop(r *coordinator.Request) { delete(t.open, r.ID) }
+func (t *fakeCoordinator) Take(r *coordinator.Request) { t.open[r.ID] = r }
+func (t *fakeCoordinator) Drop(r *coordinator.Request) { delete(t.open, r.ID) }
 
-func front(t testing.TB) (*Front, *taker, *float64) {
-	c := conftest.Example(t)
+// newTestServer returns a server for 8 connections, its coordinator and the clock that it reads.
+func newTestServer(t testing.TB) (*Server, *fakeCoordinator, *float64) {
+	settings := conftest.Example(t)
 	now := 0.0
 	clock := func() float64 { return now }
-	k := &taker{shape.NewCatalog(shape.Options{MaxBytes: 1 << 16}), map[string]*coordinator.Request{}}
+	coord := &fakeCoordinator{shape.NewCatalog(shape.Options{MaxBytes: 1 << 16}), map[string]*coordinator.Request{}}
 	faults := &tally.FaultLog{Now: clock}
-	f := &Front{Coordinator: k, Deadlines: deadline.New(), Faults: faults, Now: clock, Margin: 25, Seats: &seats.Limiter{MaxConnections: 8, Faults: faults},
-		Random: rand.New(rand.NewSource(1)), Config: c}
-	f.Start()
-	return f, k, &now
+	srv := &Server{Coordinator: coord, Deadlines: deadline.New(), Faults: faults, Now: clock, Margin: 25,
+		ConnLimiter: &seats.Limiter{MaxConnections: 8, Faults: faults}, Random: rand.New(rand.NewSource(1)), Config: settings}
+	srv.Start()
+	return srv, coord, &now
 }
 
+// post is a complete request for a query.
 const post = "POST /?user=acme HTTP/1.1\r\nHost: x\r\nContent-Length: 31\r\n\r\nSELECT a FROM sales_17.orders  "
 
-// A request that fails once its head has gone out ends without its last chunk, so that it can't pass for a short answer.
-func TestFailureBehindProgress(t *testing.T) {
-	for name, end := range map[string]func(s *Session){"failed": func(s *Session) { s.Fail("no engine") }, "refused": func(s *Session) { s.Refuse(500) },
-		"served": func(s *Session) { s.Serve(&result.Set{Pages: [][]byte{[]byte("a\tb\tc\n")}}) }} {
-		f, _, _ := front(t)
-		s, c := f.Accept(), &sink{}
-		s.Opened(c)
-		s.Received([]byte(strings.Replace(post, "?user", "?send_progress_in_http_headers=1&user", 1)))
-		s.Progress(0.25)
-		s.Progress(0.5)
-		end(s)
-		out := c.b.String()
-		whole := strings.HasSuffix(out, "\r\n0\r\n\r\n")
-		if strings.Count(out, "HTTP/1.1 200") != 1 || strings.Count(out, "X-ClickHouse-Progress") != 2 || !strings.Contains(out, "Transfer-Encoding: chunked") ||
-			whole != (name == "served") || c.closed == whole || name != "served" && !strings.Contains(out, "X-ClickHouse-Exception-Code") {
-			t.Errorf("%s: closed %v\n%s", name, c.closed, out)
+// A query that fails after the status line was sent ends without its last chunk. With it, the client would take the failed answer
+// for a short successful one.
+func TestFailureAfterProgress(t *testing.T) {
+	for name, end := range map[string]func(session *Session){"failed": func(session *Session) { session.Fail("no engine") },
+		"refused": func(session *Session) { session.Refuse(500) },
+		"served":  func(session *Session) { session.Serve(&result.Set{Pages: [][]byte{[]byte("a\tb\tc\n")}}) }} {
+		srv, _, _ := newTestServer(t)
+		session, conn := srv.Accept(), &fakeConn{}
+		session.Opened(conn)
+		session.Received([]byte(strings.Replace(post, "?user", "?send_progress_in_http_headers=1&user", 1)))
+		session.Progress(0.25)
+		session.Progress(0.5)
+		end(session)
+		out := conn.output.String()
+		hasLastChunk := strings.HasSuffix(out, "\r\n0\r\n\r\n")
+		if strings.Count(out, "HTTP/1.1 200") != 1 || strings.Count(out, "X-ClickHouse-Progress") != 2 ||
+			!strings.Contains(out, "Transfer-Encoding: chunked") || hasLastChunk != (name == "served") ||
+			conn.closed == hasLastChunk || name != "served" && !strings.Contains(out, "X-ClickHouse-Exception-Code") {
+			t.Errorf("%s: closed %v\n%s", name, conn.closed, out)
 		}
 	}
 }
 
-// Where there is no room for more connections, one that rests gives way; one with an open request never does, and who
-// gets no place is told that a new try is harmless.
-func TestSeats(t *testing.T) {
-	f, k, _ := front(t)
-	var all []*sink
-	open := func(text string) *sink {
-		c := &sink{}
-		all = append(all, c)
-		s := f.Accept()
-		s.Opened(c)
+// At the connection limit, a connection that is idle or has sent nothing is closed in favor of a new one. One with an open
+// request is never closed. A query on a connection beyond the limit is refused with an error that permits a retry.
+func TestConnectionLimit(t *testing.T) {
+	srv, coord, _ := newTestServer(t)
+	var all []*fakeConn
+	open := func(text string) *fakeConn {
+		conn := &fakeConn{}
+		all = append(all, conn)
+		session := srv.Accept()
+		session.Opened(conn)
 		if text != "" {
-			s.Received([]byte(text))
+			session.Received([]byte(text))
 		}
-		return c
+		return conn
 	}
 	for range 4 {
 		open(post)
 	}
-	rests := open("GET /ping HTTP/1.1\r\nHost: x\r\n\r\n")
-	silent := open("")
+	idle := open("GET /ping HTTP/1.1\r\nHost: x\r\n\r\n")
+	unused := open("")
 	for range 4 {
 		open(post)
 	}
-	if !silent.closed || !rests.closed || len(k.open) != 8 {
-		t.Errorf("silent closed %v, resting closed %v, %d open", silent.closed, rests.closed, len(k.open))
+	if !unused.closed || !idle.closed || len(coord.open) != 8 {
+		t.Errorf("unused connection closed: %v, idle connection closed: %v, %d requests open",
+			unused.closed, idle.closed, len(coord.open))
 	}
-	if c := open(post); !strings.Contains(c.b.String(), "503") || !strings.Contains(c.b.String(), "X-ClickHouse-Exception-Code: 202") || !c.closed {
-		t.Errorf("one too many hears %q", c.b.String())
+	if conn := open(post); !strings.Contains(conn.output.String(), "503") ||
+		!strings.Contains(conn.output.String(), "X-ClickHouse-Exception-Code: 202") || !conn.closed {
+		t.Errorf("the connection beyond the limit receives %q", conn.output.String())
 	}
 	for range 10 {
 		open("")
 	}
-	if n := f.Seats.Count(); n > 8+4 {
-		t.Errorf("%d connections are kept", n)
+	if n := srv.ConnLimiter.Count(); n > 8+4 {
+		t.Errorf("%d connections are open", n)
 	}
 }
 
-// Bodies of all clients together stay within their bound: who has no room is told so, and others are served on.
+// The requests of all clients together stay within MaxHeldBytes. A request that would exceed it is refused, and the others are
+// still served.
 func TestBodiesAreBoundedTogether(t *testing.T) {
-	f, k, _ := front(t)
-	f.MostHeld = 130 // two bodies, and a head as it comes
+	srv, coord, _ := newTestServer(t)
+	srv.MaxHeldBytes = 130 // two bodies, and one request head while it is received
 	var all []*Session
-	open := func(text string) (*Session, *sink) {
-		s, c := f.Accept(), &sink{}
-		s.Opened(c)
-		s.Received([]byte(text))
-		all = append(all, s)
-		return s, c
-	}
-	const half = "POST /?user=acme HTTP/1.1\r\nHost: x\r\nContent-Length: 40\r\n\r\nSELECT"
-	one, _ := open(half)
-	_, two := open(half)
-	_, three := open(half)
-	_, chunked := open("POST /?user=acme HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n40\r\n" + strings.Repeat("x", 64))
-	for _, c := range []*sink{three, chunked} {
-		if !strings.Contains(c.b.String(), "503") || !strings.Contains(c.b.String(), "Code: 241") || !c.closed {
-			t.Errorf("one without room hears %q", c.b.String())
+	open := func(text string) (*Session, *fakeConn) {
+		session, conn := srv.Accept(), &fakeConn{}
+		session.Opened(conn)
+		session.Received([]byte(text))
+		all = append(all, session)
+		return session, conn
+	}
+	const partialPost = "POST /?user=acme HTTP/1.1\r\nHost: x\r\nContent-Length: 40\r\n\r\nSELECT"
+	first, _ := open(partialPost)
+	_, second := open(partialPost)
+	_, third := open(partialPost)
+	_, chunked := open("POST /?user=acme HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n40\r\n" +
+		strings.Repeat("x", 64))
+	for _, conn := range []*fakeConn{third, chunked} {
+		if !strings.Contains(conn.output.String(), "503") || !strings.Contains(conn.output.String(), "Code: 241") ||
+			!conn.closed {
+			t.Errorf("a request beyond the limit receives %q", conn.output.String())
 		}
 	}
-	if two.b.Len() > 0 || f.held != 80 {
-		t.Errorf("%d bytes are held; the second hears %q", f.held, two.b.String())
+	if second.output.Len() > 0 || srv.heldBytes != 80 {
+		t.Errorf("%d bytes are held; the second client receives %q", srv.heldBytes, second.output.String())
 	}
-	one.Received([]byte(strings.Repeat(" ", 28) + "1 + 1 "))
-	if len(k.open) != 1 || f.held != 80 {
-		t.Errorf("%d open, %d bytes held", len(k.open), f.held)
+	first.Received([]byte(strings.Repeat(" ", 28) + "1 + 1 "))
+	if len(coord.open) != 1 || srv.heldBytes != 80 {
+		t.Errorf("%d requests open, %d bytes held", len(coord.open), srv.heldBytes)
 	}
-	one.Received([]byte("GET /ping")) // what waits behind an open request counts as well
-	if f.held != 89 {
-		t.Errorf("%d bytes are held with more behind an open request", f.held)
+	first.Received([]byte("GET /ping")) // input behind an open request counts too
+	if srv.heldBytes != 89 {
+		t.Errorf("%d bytes are held with input behind an open request", srv.heldBytes)
 	}
-	one.Refuse(0)
-	one.Received([]byte(" HTTP/1.1\r\nHost: x\r\n\r\n"))
-	if f.held != 40 {
-		t.Errorf("%d bytes are held after an answer", f.held)
+	first.Refuse(0)
+	first.Received([]byte(" HTTP/1.1\r\nHost: x\r\n\r\n"))
+	if srv.heldBytes != 40 {
+		t.Errorf("%d bytes are held after an answer", srv.heldBytes)
 	}
-	for _, s := range all {
-		if !s.closed {
-			s.Closed(link.ConnReset)
+	for _, session := range all {
+		if !session.closed {
+			session.Closed(link.ConnReset)
 		}
 	}
-	if f.held != 0 {
-		t.Errorf("%d bytes are held by no one", f.held)
+	if srv.heldBytes != 0 {
+		t.Errorf("%d bytes are held after all connections were closed", srv.heldBytes)
 	}
 }
 
-// A client that writes on and on behind an open request is ended, and its request given up: no answer may come to a
-// session that has no request.
-func TestFloodBehindOpenRequest(t *testing.T) {
-	for _, most := range []int{0, 4096} {
-		f, k, _ := front(t)
-		f.MostHeld = most
-		s, c := f.Accept(), &sink{}
-		s.Opened(c)
-		s.Received([]byte(post))
-		if len(k.open) != 1 {
-			t.Fatal("not taken")
+// A client that keeps writing behind an open request is disconnected and its request dropped. Otherwise the answer would be
+// delivered to a session that has no request.
+func TestInputLimitBehindOpenRequest(t *testing.T) {
+	for _, maxHeldBytes := range []int{0, 4096} {
+		srv, coord, _ := newTestServer(t)
+		srv.MaxHeldBytes = maxHeldBytes
+		session, conn := srv.Accept(), &fakeConn{}
+		session.Opened(conn)
+		session.Received([]byte(post))
+		if len(coord.open) != 1 {
+			t.Fatal("the request was not accepted")
 		}
 		for range 200 {
-			s.Received([]byte(strings.Repeat("x", 8192)))
+			session.Received([]byte(strings.Repeat("x", 8192)))
 		}
-		if !c.closed || len(k.open) != 0 || f.held != 0 || len(f.queries) != 0 {
-			t.Errorf("bound %d: closed %v, %d open, %d bytes held", most, c.closed, len(k.open), f.held)
+		if !conn.closed || len(coord.open) != 0 || srv.heldBytes != 0 || len(srv.queries) != 0 {
+			t.Errorf("limit %d: closed %v, %d requests open, %d bytes held",
+				maxHeldBytes, conn.closed, len(coord.open), srv.heldBytes)
 		}
 	}
 }
 
-// Whatever a client sends and however it is cut, the front keeps its books: each open request is one session's, nothing
-// of a closed connection is left, and bytes that wait are bounded.
+// Whatever a client sends and however it is split, the state of the server stays consistent: the session has a query exactly
+// if the coordinator has an open request, and a closed connection leaves nothing behind.
 func FuzzSession(f *testing.F) {
 	f.Add([]byte(post+post), uint8(7))
 	f.Add([]byte("GET /?user=acme&query=SELECT+1+FORMAT+JSON HTTP/1.1\r\nHost: x\r\n\r\n"), uint8(1))
-	f.Add([]byte("POST /?user=acme&decompress=1 HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\n0\r\n\r\n"), uint8(200))
+	f.Add(
+		[]byte("POST /?user=acme&decompress=1 HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\n0\r\n\r\n"),
+		uint8(200))
 	f.Fuzz(func(t *testing.T, text []byte, cut uint8) {
-		fr, k, now := front(t)
-		s, c := fr.Accept(), &sink{}
-		s.Opened(c)
-		for n := int(cut) + 1; len(text) > 0 && !s.closed; text = text[min(n, len(text)):] {
-			s.Received(text[:min(n, len(text))])
-			if len(k.open) > 1 || (len(k.open) == 1) != (s.q != nil) {
-				t.Fatalf("%d open, the session's is %v", len(k.open), s.q)
+		srv, coord, now := newTestServer(t)
+		session, conn := srv.Accept(), &fakeConn{}
+		session.Opened(conn)
+		for size := int(cut) + 1; len(text) > 0 && !session.closed; text = text[min(size, len(text)):] {
+			session.Received(text[:min(size, len(text))])
+			if len(coord.open) > 1 || (len(coord.open) == 1) != (session.query != nil) {
+				t.Fatalf("%d requests open, the session's query is %v", len(coord.open), session.query)
 			}
-			if s.q != nil && n%2 == 0 {
-				r := s.q.Request
-				delete(k.open, r.ID)
+			if session.query != nil && size%2 == 0 {
+				r := session.query.Request
+				delete(coord.open, r.ID)
 				r.Client.Serve(&result.Set{Pages: [][]byte{[]byte("a\tb\tc\n")}})
 			}
 			*now += 10
-			fr.Deadlines.RunDue(*now)
+			srv.Deadlines.RunDue(*now)
 		}
-		if !s.closed {
-			s.Closed(link.ConnReset)
+		if !session.closed {
+			session.Closed(link.ConnReset)
 		}
 		for range 3 {
 			*now += 60000
-			fr.Deadlines.RunDue(*now)
+			srv.Deadlines.RunDue(*now)
 		}
-		if _, left := fr.Deadlines.Next(); left || len(k.open) > 0 || len(fr.queries) > 0 || len(fr.locks) > 0 || len(fr.all) > 0 || fr.Seats.Count() != 0 || fr.held != 0 {
-			t.Fatalf("left: deadlines %v, %d open, %d queries, %d locks, %d sessions, %d seats", left, len(k.open), len(fr.queries), len(fr.locks), len(fr.all), fr.Seats.Count())
+		if _, scheduled := srv.Deadlines.Next(); scheduled || len(coord.open) > 0 || len(srv.queries) > 0 ||
+			len(srv.sessionLocks) > 0 || len(srv.sessions) > 0 || srv.ConnLimiter.Count() != 0 || srv.heldBytes != 0 {
+			t.Fatalf("left over: deadlines %v, %d requests, %d queries, %d locks, %d sessions, %d connection slots", scheduled,
+				len(coord.open), len(srv.queries), len(srv.sessionLocks), len(srv.sessions), srv.ConnLimiter.Count())
 		}
 	})
 }
--- a/internal/chhttp/greet.go
+++ b/internal/chhttp/greet.go
@@ -8,52 +8,52 @@
 	"thymeway/internal/result"
 )
 
-// The queries with which clients greet, answered here: they ask about the server and run nowhere.
+// Queries that are answered without an engine: those that clients send on connecting to ask about the server, and KILL QUERY.
 var (
-	greeting = regexp.MustCompile(`(?is)^select\s+([a-z0-9_]+(?:\(\))?(?:\s+as\s+[a-z_0-9]+)?(?:\s*,\s*[a-z0-9_]+(?:\(\))?(?:\s+as\s+[a-z_0-9]+)?)*)$`)
-	killing  = regexp.MustCompile(`(?is)^kill\s+query\s+where\s+query_id\s*=\s*'((?:[^'\\]|\\.|'')*)'(?:\s+(sync|async|test))?$`)
+	serverInfoPattern = regexp.MustCompile(`(?is)^select\s+([a-z0-9_]+(?:\(\))?(?:\s+as\s+[a-z_0-9]+)?(?:\s*,\s*[a-z0-9_]+(?:\(\))?(?:\s+as\s+[a-z_0-9]+)?)*)$`)
+	killPattern       = regexp.MustCompile(`(?is)^kill\s+query\s+where\s+query_id\s*=\s*'((?:[^'\\]|\\.|'')*)'(?:\s+(sync|async|test))?$`)
 )
 
-// What is told of this server: the version of the interface that it speaks.
+// The server version that clients are told. It states which interface is supported.
 const (
-	version    = "24.8.1.1"
-	revision   = 54460
-	mostGreets = 512 // bytes of a text that may be a greeting
+	serverVersion      = "24.8.1.1"
+	serverRevision     = 54460
+	maxLocalQueryBytes = 512 // longer texts are not matched against the patterns above
 )
 
-// greet answers a greeting; ok is false for what is none.
-func (f *Front) greet(text string) (s *result.Set, ok bool) {
-	if len(text) > mostGreets {
+// answerServerInfo answers a query about the server, such as its version or time zone. ok is false for any other query.
+func (srv *Server) answerServerInfo(text string) (set *result.Set, ok bool) {
+	if len(text) > maxLocalQueryBytes {
 		return nil, false
 	}
-	m := greeting.FindStringSubmatch(strings.Trim(text, " \t\r\n;"))
-	if m == nil {
+	match := serverInfoPattern.FindStringSubmatch(strings.Trim(text, " \t\r\n;"))
+	if match == nil {
 		return nil, false
 	}
-	s = &result.Set{Escaped: true}
+	set = &result.Set{Escaped: true}
 	var row []byte
-	for i, item := range strings.Split(m[1], ",") {
-		word := strings.Fields(item)
-		c := result.Column{Name: word[0], Type: "String"}
-		if len(word) == 3 {
-			c.Name = word[2]
+	for i, item := range strings.Split(match[1], ",") {
+		words := strings.Fields(item)
+		column := result.Column{Name: words[0], Type: "String"}
+		if len(words) == 3 {
+			column.Name = words[2]
 		}
 		value := ""
-		switch strings.ToLower(word[0]) {
+		switch strings.ToLower(words[0]) {
 		case "version()":
-			value = version
+			value = serverVersion
 		case "timezone()", "servertimezone()":
 			value = "UTC"
 		case "displayname()", "hostname()":
-			value = f.Config.Local.ClickHouse.DisplayName
+			value = srv.Config.Local.ClickHouse.DisplayName
 		case "revision()":
-			c.Type, value = "UInt32", strconv.Itoa(revision)
+			column.Type, value = "UInt32", strconv.Itoa(serverRevision)
 		case "currentdatabase()":
 			value = "default"
 		case "uptime()":
-			c.Type, value = "UInt32", strconv.Itoa(int(f.Now()-f.started)/1000)
+			column.Type, value = "UInt32", strconv.Itoa(int(srv.Now()-srv.startedAt)/1000)
 		case "1":
-			c.Type, value = "UInt8", "1"
+			column.Type, value = "UInt8", "1"
 		default:
 			return nil, false
 		}
@@ -61,20 +61,20 @@
 			row = append(row, '\t')
 		}
 		row = result.Escape(row, []byte(value))
-		s.Columns = append(s.Columns, c)
+		set.Columns = append(set.Columns, column)
 	}
-	s.Pages = [][]byte{append(row, '\n')}
-	return s, true
+	set.Pages = [][]byte{append(row, '\n')}
+	return set, true
 }
 
-// killed is the query_id that a KILL QUERY names.
-func killed(text string) (id string, ok bool) {
-	if len(text) > mostGreets {
+// killedQueryID returns the query_id that a KILL QUERY statement names. ok is false for any other statement.
+func killedQueryID(text string) (id string, ok bool) {
+	if len(text) > maxLocalQueryBytes {
 		return "", false
 	}
-	m := killing.FindStringSubmatch(strings.Trim(text, " \t\r\n;"))
-	if m == nil {
+	match := killPattern.FindStringSubmatch(strings.Trim(text, " \t\r\n;"))
+	if match == nil {
 		return "", false
 	}
-	return string(result.Unescape(nil, []byte(strings.ReplaceAll(m[1], "''", "'")))), true
+	return string(result.Unescape(nil, []byte(strings.ReplaceAll(match[1], "''", "'")))), true
 }
--- a/internal/chhttp/pack.go
+++ b/internal/chhttp/pack.go
@@ -14,118 +14,123 @@
 	"github.com/pierrec/lz4/v4"
 )
 
-// accepted is the encoding of an answer that a client takes, of those that are known; "" for none.
-func accepted(header string) string {
-	for _, want := range []string{"zstd", "lz4", "gzip"} {
-		for _, e := range strings.Split(header, ",") {
-			name, quality, _ := strings.Cut(strings.TrimSpace(e), ";")
-			if strings.EqualFold(strings.TrimSpace(name), want) && strings.ReplaceAll(quality, " ", "") != "q=0" {
-				return want
+// chooseEncoding returns the first supported content encoding that an Accept-Encoding header allows, or "" if it allows none.
+func chooseEncoding(header string) string {
+	for _, known := range []string{"zstd", "lz4", "gzip"} {
+		for _, entry := range strings.Split(header, ",") {
+			name, quality, _ := strings.Cut(strings.TrimSpace(entry), ";")
+			if strings.EqualFold(strings.TrimSpace(name), known) && strings.ReplaceAll(quality, " ", "") != "q=0" {
+				return known
 			}
 		}
 	}
 	return ""
 }
 
-// limited reads no more than so many bytes. Danger: a few bytes may unpack to more than there is memory.
-func limited(r io.Reader, most int) ([]byte, error) {
-	b, err := io.ReadAll(io.LimitReader(r, int64(most)+1))
-	if err == nil && len(b) > most {
-		return nil, except(codeTooLarge, "a body that unpacks to over %d bytes", most)
+// readLimited reads a decompressed body of at most maxBytes bytes. Danger: a few compressed bytes may expand to more than the
+// available memory.
+func readLimited(r io.Reader, maxBytes int) ([]byte, error) {
+	body, err := io.ReadAll(io.LimitReader(r, int64(maxBytes)+1))
+	if err == nil && len(body) > maxBytes {
+		return nil, newException(codeTooLarge, "a body that unpacks to over %d bytes", maxBytes)
 	}
 	if err != nil {
-		return nil, except(codeUnpack, "the body can't be unpacked: %.80v", err)
+		return nil, newException(codeCannotDecompress, "the body can't be unpacked: %.80v", err)
 	}
-	return b, nil
+	return body, nil
 }
 
 const (
-	blockHead  = 25      // bytes: checksum, method, two sizes
-	zstdMemory = 8 << 20 // that a window may take: one frame is unpacked at a time
+	blockHeaderBytes = 25      // a checksum of 16 bytes, the method, and the compressed and original sizes
+	maxZstdWindow    = 8 << 20 // bytes that the decoder may use; it decompresses one frame at a time
 )
 
-// unpacked undoes a request's content encoding, and the blocks of decompress=1.
-func unpacked(encoding string, blocks bool, b []byte, most int) ([]byte, error) {
+// decompressBody reverses a request's content encoding and, if blocks is set (decompress=1), ClickHouse's compressed blocks. The
+// result of each step has at most maxBytes bytes.
+func decompressBody(encoding string, blocks bool, body []byte, maxBytes int) ([]byte, error) {
 	var err error
 	switch strings.ToLower(encoding) {
 	case "", "identity":
 	case "gzip":
-		r, e := gzip.NewReader(bytes.NewReader(b))
+		r, e := gzip.NewReader(bytes.NewReader(body))
 		if e != nil {
-			return nil, except(codeUnpack, "gzip: %v", e)
+			return nil, newException(codeCannotDecompress, "gzip: %v", e)
 		}
-		b, err = limited(r, most)
+		body, err = readLimited(r, maxBytes)
 	case "deflate":
-		r, e := zlib.NewReader(bytes.NewReader(b))
+		r, e := zlib.NewReader(bytes.NewReader(body))
 		if e != nil {
-			return nil, except(codeUnpack, "deflate: %v", e)
+			return nil, newException(codeCannotDecompress, "deflate: %v", e)
 		}
-		b, err = limited(r, most)
+		body, err = readLimited(r, maxBytes)
 	case "zstd":
-		r, e := zstd.NewReader(bytes.NewReader(b), zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(zstdMemory), zstd.WithDecoderMaxWindow(zstdMemory), zstd.WithDecoderLowmem(true))
+		r, e := zstd.NewReader(bytes.NewReader(body), zstd.WithDecoderConcurrency(1),
+			zstd.WithDecoderMaxMemory(maxZstdWindow), zstd.WithDecoderMaxWindow(maxZstdWindow), zstd.WithDecoderLowmem(true))
 		if e != nil {
-			return nil, except(codeUnpack, "zstd: %v", e)
+			return nil, newException(codeCannotDecompress, "zstd: %v", e)
 		}
-		b, err = limited(r, most)
+		body, err = readLimited(r, maxBytes)
 		r.Close()
 	case "lz4":
-		b, err = limited(lz4.NewReader(bytes.NewReader(b)), most)
+		body, err = readLimited(lz4.NewReader(bytes.NewReader(body)), maxBytes)
 	default:
-		return nil, except(codeUnsupported, "content encoding %.40q", encoding)
+		return nil, newException(codeNotImplemented, "content encoding %.40q", encoding)
 	}
-	if err != nil || !blocks || len(b) == 0 {
-		return b, err
+	if err != nil || !blocks || len(body) == 0 {
+		return body, err
 	}
-	// Danger: a block's head tells its sizes, and the library makes room for what it tells.
+	// Danger: the library allocates as much memory as a block's header claims to need, so the claims are checked first.
 	total := 0
-	for at := b; len(at) > 0; {
-		if len(at) < blockHead {
-			return nil, except(codeUnpack, "a block of %d bytes", len(at))
+	for rest := body; len(rest) > 0; {
+		if len(rest) < blockHeaderBytes {
+			return nil, newException(codeCannotDecompress, "a block of %d bytes", len(rest))
 		}
-		packed, raw := int(binary.LittleEndian.Uint32(at[17:])), int(binary.LittleEndian.Uint32(at[21:]))
-		if packed < 9 || packed-9 > len(at)-blockHead {
-			return nil, except(codeUnpack, "a block said to have %d bytes", packed)
+		compressedSize, size := int(binary.LittleEndian.Uint32(rest[17:])), int(binary.LittleEndian.Uint32(rest[21:]))
+		if compressedSize < 9 || compressedSize-9 > len(rest)-blockHeaderBytes {
+			return nil, newException(codeCannotDecompress, "a block said to have %d bytes", compressedSize)
 		}
-		if total += raw; raw > most || total > most {
-			return nil, except(codeTooLarge, "a body that unpacks to over %d bytes", most)
+		if total += size; size > maxBytes || total > maxBytes {
+			return nil, newException(codeTooLarge, "a body that unpacks to over %d bytes", maxBytes)
 		}
-		at = at[16+packed:]
+		rest = rest[16+compressedSize:]
 	}
 	out := make([]byte, total)
-	if _, err := io.ReadFull(compress.NewReader(bytes.NewReader(b)), out); err != nil {
-		return nil, except(codeUnpack, "the body's blocks can't be unpacked: %.80v", err)
+	if _, err := io.ReadFull(compress.NewReader(bytes.NewReader(body)), out); err != nil {
+		return nil, newException(codeCannotDecompress, "the body's blocks can't be unpacked: %.80v", err)
 	}
 	return out, nil
 }
 
-// packers are kept from one answer to the next; the loop uses them by turns. They are made when first needed.
-var packers = struct {
+// encoders holds the zstd encoder, which is created on first use and then shared by all answers: only the event loop uses it.
+var encoders = struct {
 	sync.Once
 	zstd *zstd.Encoder
 }{}
 
-// packed makes the body of an answer as its client wants it.
-func packed(b []byte, encoding string, blocks bool, method string) ([]byte, error) {
+// compressBody compresses the body of an answer: first into ClickHouse's blocks, if blocks is set, by the given method (ZSTD, or
+// LZ4 for any other), then with the content encoding.
+func compressBody(body []byte, encoding string, blocks bool, method string) ([]byte, error) {
 	if blocks {
-		w := compress.NewWriter(compress.LevelZero, map[bool]compress.Method{true: compress.ZSTD, false: compress.LZ4}[strings.EqualFold(method, "zstd")])
+		w := compress.NewWriter(compress.LevelZero,
+			map[bool]compress.Method{true: compress.ZSTD, false: compress.LZ4}[strings.EqualFold(method, "zstd")])
 		var out []byte
-		const piece = 1 << 20 // bytes of a block
-		for len(b) > 0 {
-			n := min(len(b), piece)
-			if err := w.Compress(b[:n]); err != nil {
+		const maxBlockBytes = 1 << 20 // before compression
+		for len(body) > 0 {
+			size := min(len(body), maxBlockBytes)
+			if err := w.Compress(body[:size]); err != nil {
 				return nil, err
 			}
 			out = append(out, w.Data...)
-			b = b[n:]
+			body = body[size:]
 		}
-		b = out
+		body = out
 	}
 	var out bytes.Buffer
 	switch encoding {
 	case "gzip":
 		w, err := gzip.NewWriterLevel(&out, gzip.BestSpeed)
 		if err == nil {
-			_, err = w.Write(b)
+			_, err = w.Write(body)
 		}
 		if err == nil {
 			err = w.Close()
@@ -133,20 +138,21 @@
 		return out.Bytes(), err
 	case "zstd":
 		var err error
-		packers.Do(func() {
-			packers.zstd, err = zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithWindowSize(256<<10), zstd.WithLowerEncoderMem(true))
+		encoders.Do(func() {
+			encoders.zstd, err = zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedFastest),
+				zstd.WithWindowSize(256<<10), zstd.WithLowerEncoderMem(true))
 		})
 		if err != nil {
 			return nil, err
 		}
-		return packers.zstd.EncodeAll(b, nil), nil
+		return encoders.zstd.EncodeAll(body, nil), nil
 	case "lz4":
 		w := lz4.NewWriter(&out)
-		_, err := w.Write(b)
+		_, err := w.Write(body)
 		if err == nil {
 			err = w.Close()
 		}
 		return out.Bytes(), err
 	}
-	return b, nil
+	return body, nil
 }
--- a/internal/chhttp/request.go
+++ b/internal/chhttp/request.go
@@ -18,45 +18,49 @@
 	"thymeway/internal/shape"
 )
 
-// Codes of ClickHouse's exceptions, with their names and the status that goes with each.
+// Codes of ClickHouse's exceptions.
 const (
-	codeBadArguments  = 36
-	codeSyntax        = 62
-	codeTimeout       = 159
-	codeReadonly      = 164
-	codeTooMany       = 202
-	codeSameID        = 216
-	codeMemory        = 241
-	codeUnknownFormat = 73
-	codeNoSession     = 372
-	codeLocked        = 373
-	codeCanceled      = 394
-	codeTooLarge      = 396 // TOO_MANY_ROWS_OR_BYTES
-	codeAuth          = 516
-	codeBadParameter  = 457
-	codeUnpack        = 271 // CANNOT_DECOMPRESS
-	codeNoTries       = 279
-	codeUnsupported   = 48
-	codeAborted       = 236
-	codeProtocol      = 1000 // POCO_EXCEPTION
+	codeBadArguments     = 36
+	codeSyntax           = 62
+	codeTimeout          = 159
+	codeReadonly         = 164
+	codeTooManyQueries   = 202
+	codeDuplicateQueryID = 216
+	codeMemoryLimit      = 241
+	codeUnknownFormat    = 73
+	codeSessionNotFound  = 372
+	codeSessionLocked    = 373
+	codeCanceled         = 394
+	codeTooLarge         = 396 // TOO_MANY_ROWS_OR_BYTES
+	codeAuth             = 516
+	codeBadParameter     = 457
+	codeCannotDecompress = 271 // CANNOT_DECOMPRESS
+	codeNoConnection     = 279
+	codeNotImplemented   = 48
+	codeAborted          = 236
+	codeProtocol         = 1000 // POCO_EXCEPTION
 )
 
-type code struct {
+// codeInfo holds the name of an exception code and the HTTP status sent with it.
+type codeInfo struct {
 	name   string
 	status int
 }
 
-var codes = map[int]code{
+// codes holds all exception codes that are created here. Other codes come from engines.
+var codes = map[int]codeInfo{
 	codeBadArguments: {"BAD_ARGUMENTS", 400}, codeSyntax: {"SYNTAX_ERROR", 400}, codeTimeout: {"TIMEOUT_EXCEEDED", 408},
-	codeReadonly: {"READONLY", 500}, codeTooMany: {"TOO_MANY_SIMULTANEOUS_QUERIES", 503}, codeSameID: {"QUERY_WITH_SAME_ID_IS_ALREADY_RUNNING", 500},
-	codeMemory: {"MEMORY_LIMIT_EXCEEDED", 500}, codeUnknownFormat: {"UNKNOWN_FORMAT", 404}, codeNoSession: {"SESSION_NOT_FOUND", 404},
-	codeLocked: {"SESSION_IS_LOCKED", 423}, codeCanceled: {"QUERY_WAS_CANCELLED", 500}, codeTooLarge: {"TOO_MANY_ROWS_OR_BYTES", 500},
-	codeAuth: {"AUTHENTICATION_FAILED", 403}, codeBadParameter: {"BAD_QUERY_PARAMETER", 400}, codeUnpack: {"CANNOT_DECOMPRESS", 400},
-	codeNoTries: {"ALL_CONNECTION_TRIES_FAILED", 500}, codeUnsupported: {"NOT_IMPLEMENTED", 501}, codeAborted: {"ABORTED", 503},
-	codeProtocol: {"POCO_EXCEPTION", 400},
+	codeReadonly: {"READONLY", 500}, codeTooManyQueries: {"TOO_MANY_SIMULTANEOUS_QUERIES", 503},
+	codeDuplicateQueryID: {"QUERY_WITH_SAME_ID_IS_ALREADY_RUNNING", 500}, codeMemoryLimit: {"MEMORY_LIMIT_EXCEEDED", 500},
+	codeUnknownFormat: {"UNKNOWN_FORMAT", 404}, codeSessionNotFound: {"SESSION_NOT_FOUND", 404},
+	codeSessionLocked: {"SESSION_IS_LOCKED", 423}, codeCanceled: {"QUERY_WAS_CANCELLED", 500},
+	codeTooLarge: {"TOO_MANY_ROWS_OR_BYTES", 500}, codeAuth: {"AUTHENTICATION_FAILED", 403},
+	codeBadParameter: {"BAD_QUERY_PARAMETER", 400}, codeCannotDecompress: {"CANNOT_DECOMPRESS", 400},
+	codeNoConnection: {"ALL_CONNECTION_TRIES_FAILED", 500}, codeNotImplemented: {"NOT_IMPLEMENTED", 501},
+	codeAborted: {"ABORTED", 503}, codeProtocol: {"POCO_EXCEPTION", 400},
 }
 
-// An exception is an error of the interface.
+// exception is an error with the exception code that the client receives.
 type exception struct {
 	code int
 	text string
@@ -64,43 +68,47 @@
 
 func (e *exception) Error() string { return e.text }
 
-func except(code int, format string, args ...any) error {
+// newException returns an exception with a formatted text.
+func newException(code int, format string, args ...any) error {
 	return &exception{code, fmt.Sprintf(format, args...)}
 }
 
-// query is a request of the interface, read and checked.
+// query is a parsed and checked request for a query, with the options for its answer.
 type query struct {
 	*coordinator.Request
-	limit     float64 // ms
-	id        string  // query_id
-	session   string
-	format    string
-	user      string
-	options   options
-	progress  bool   // send_progress_in_http_headers
-	pack      bool   // compress: in blocks
-	encoding  string // of the answer, by Accept-Encoding
-	head      bool   // HEAD: an answer without its body
-	parameter map[string]string
+	timeLimit       float64 // ms from arrival to the answer
+	id              string  // query_id
+	sessionID       string  // session_id
+	format          string  // name of the output format
+	user            string
+	options         formatOptions
+	wantsProgress   bool              // send_progress_in_http_headers
+	compressBlocks  bool              // compress: the answer consists of ClickHouse's compressed blocks
+	contentEncoding string            // of the answer, chosen from Accept-Encoding; "": none
+	headOnly        bool              // the method is HEAD: the answer has no body
+	parameters      map[string]string // of the URL
 }
 
 const (
-	mostParameters = 256
-	mostID         = 128 // bytes of a query_id or session_id
-	mostLimit      = 3600000.0
+	maxParameters = 256
+	maxIDBytes    = 128       // of a query_id or session_id
+	maxTimeLimit  = 3600000.0 // ms, for queries whose class has no time limit
 )
 
-// own are the parameters that the interface itself heeds. All others are settings, which pass on to the engine.
-var own = map[string]bool{"query": true, "database": true, "user": true, "password": true, "quota_key": true, "query_id": true,
-	"session_id": true, "session_timeout": true, "session_check": true, "default_format": true, "wait_end_of_query": true,
-	"enable_http_compression": true, "http_zlib_compression_level": true, "compress": true, "decompress": true, "buffer_size": true,
-	"send_progress_in_http_headers": true, "http_headers_progress_interval_ms": true, "client_protocol_version": true, "role": true,
-	"network_compression_method": true, "network_zstd_compression_level": true, "output_format_json_quote_64bit_integers": true}
+// interfaceParameters are the URL parameters of the HTTP interface itself. All others are settings and are passed on to the
+// engine.
+var interfaceParameters = map[string]bool{"query": true, "database": true, "user": true, "password": true, "quota_key": true,
+	"query_id": true, "session_id": true, "session_timeout": true, "session_check": true, "default_format": true,
+	"wait_end_of_query": true, "enable_http_compression": true, "http_zlib_compression_level": true, "compress": true,
+	"decompress": true, "buffer_size": true, "send_progress_in_http_headers": true, "http_headers_progress_interval_ms": true,
+	"client_protocol_version": true, "role": true, "network_compression_method": true, "network_zstd_compression_level": true,
+	"output_format_json_quote_64bit_integers": true}
 
-// values reads the parameters of a target. Danger: one given twice could be read in two ways.
-func values(target string) (path string, v map[string]string, err error) {
+// parseTarget splits a request target into its path and parameters. Danger: of a parameter that is given twice, two programs
+// may use different values, so it is refused.
+func parseTarget(target string) (path string, parameters map[string]string, err error) {
 	path, raw, _ := strings.Cut(target, "?")
-	v = map[string]string{}
+	parameters = map[string]string{}
 	for raw != "" {
 		var pair string
 		pair, raw, _ = strings.Cut(raw, "&")
@@ -112,286 +120,303 @@
 		if err == nil {
 			value, err = url.QueryUnescape(value)
 		}
-		switch _, twice := v[name]; {
+		switch _, repeated := parameters[name]; {
 		case err != nil:
-			return path, nil, except(codeBadArguments, "parameter %.60q: %v", pair, err)
-		case twice:
-			return path, nil, except(codeBadArguments, "parameter %.60q: given twice", name)
-		case len(v) >= mostParameters:
-			return path, nil, except(codeBadArguments, "over %d parameters", mostParameters)
+			return path, nil, newException(codeBadArguments, "parameter %.60q: %v", pair, err)
+		case repeated:
+			return path, nil, newException(codeBadArguments, "parameter %.60q: given twice", name)
+		case len(parameters) >= maxParameters:
+			return path, nil, newException(codeBadArguments, "over %d parameters", maxParameters)
 		}
-		v[name] = value
+		parameters[name] = value
 	}
-	return path, v, nil
+	return path, parameters, nil
 }
 
+// enabled reports whether the value of a Boolean parameter is true.
 func enabled(s string) bool { return s == "1" || strings.EqualFold(s, "true") }
 
-// user finds who asks, by the URL, basic authentication or headers, but one of them only.
-func user(h *http1.Head, v map[string]string) (name, password string, err error) {
-	ways := 0
+// readCredentials returns the user name and password, which are given in the URL, by basic authentication or in headers. A
+// request that uses more than one of these is refused.
+func readCredentials(head *http1.Head, parameters map[string]string) (name, password string, err error) {
+	methods := 0
 	name = "default"
-	if _, ok := v["user"]; ok || v["password"] != "" {
-		ways++
-		name, password = first(v["user"], name), v["password"]
-	}
-	if s, ok := h.Find("x-clickhouse-user"); ok {
-		ways++
-		name, password = first(s, name), h.Get("x-clickhouse-key")
-	}
-	if s, ok := h.Find("authorization"); ok {
-		ways++
-		coded, basic := strings.CutPrefix(s, "Basic ")
-		b, err := base64.StdEncoding.DecodeString(strings.TrimSpace(coded))
+	if _, ok := parameters["user"]; ok || parameters["password"] != "" {
+		methods++
+		name, password = firstNonEmpty(parameters["user"], name), parameters["password"]
+	}
+	if s, ok := head.Find("x-clickhouse-user"); ok {
+		methods++
+		name, password = firstNonEmpty(s, name), head.Get("x-clickhouse-key")
+	}
+	if s, ok := head.Find("authorization"); ok {
+		methods++
+		encoded, basic := strings.CutPrefix(s, "Basic ")
+		b, err := base64.StdEncoding.DecodeString(strings.TrimSpace(encoded))
 		if !basic || err != nil {
-			return "", "", except(codeAuth, "only basic authentication is known")
+			return "", "", newException(codeAuth, "only basic authentication is known")
 		}
-		n, p, _ := strings.Cut(string(b), ":")
-		name, password = first(n, name), p
+		user, pass, _ := strings.Cut(string(b), ":")
+		name, password = firstNonEmpty(user, name), pass
 	}
-	if ways > 1 {
-		return "", "", except(codeAuth, "more than one way of authentication is used")
+	if methods > 1 {
+		return "", "", newException(codeAuth, "more than one way of authentication is used")
 	}
 	return name, password, nil
 }
 
-func first(a, b string) string {
+// firstNonEmpty returns a, or b if a is empty.
+func firstNonEmpty(a, b string) string {
 	if a != "" {
 		return a
 	}
 	return b
 }
 
-// tenant is the member that a user belongs to. Danger: whether a name or its password is wrong is not told.
-func (f *Front) tenant(name, password, quota string) (string, error) {
-	denied := except(codeAuth, "%.60s: Authentication failed: password is incorrect, or there is no user with such name.", name)
-	c := f.Config.Local
-	if len(c.Users) > 0 {
-		u, ok := c.Users[name]
+// authenticate checks a user's password and returns the tenant that the user belongs to. Danger: different errors for an unknown
+// name and a wrong password would disclose which names exist.
+func (srv *Server) authenticate(name, password, quotaKey string) (string, error) {
+	denied := newException(codeAuth,
+		"%.60s: Authentication failed: password is incorrect, or there is no user with such name.", name)
+	local := srv.Config.Local
+	if len(local.Users) > 0 {
+		user, ok := local.Users[name]
 		sum := sha256.Sum256([]byte(password))
-		if !ok || u.PasswordHash != "" && subtle.ConstantTimeCompare([]byte(u.PasswordHash), []byte(hex.EncodeToString(sum[:]))) != 1 {
+		if !ok || user.PasswordHash != "" &&
+			subtle.ConstantTimeCompare([]byte(user.PasswordHash), []byte(hex.EncodeToString(sum[:]))) != 1 {
 			return "", denied
 		}
-		return u.Tenant, nil
+		return user.Tenant, nil
 	}
-	for _, t := range f.Config.Scheduler.Tenants {
-		if t.Name == name || name == "default" && t.Name == quota {
-			return t.Name, nil
+	for _, tenant := range srv.Config.Scheduler.Tenants {
+		if tenant.Name == name || name == "default" && tenant.Name == quotaKey {
+			return tenant.Name, nil
 		}
 	}
-	if len(f.Config.Scheduler.Tenants) > 0 {
+	if len(srv.Config.Scheduler.Tenants) > 0 {
 		return "", denied
 	}
 	return name, nil
 }
 
-// read makes a query of a request. This is the one place where the interface's terms become the module's:
+// readQuery creates a query from an HTTP request. The terms of the interface become those of the scheduler only here:
 //
-//	tenant     the user's, or quota_key where nobody is named
-//	deadline   max_execution_time, and the class's limit
-//	class      by what the statement does; by the fields of its comment, if it has them
-//	repeats    insert_deduplication_token; without one, each request is its own
-//	order      the header or setting that our settings name; without one, the tables that are written
-func (f *Front) read(h *http1.Head, body []byte) (*query, error) {
-	_, v, err := values(h.Target)
+//	tenant           of the user; quota_key if the request names no user
+//	deadline         from max_execution_time and the time limit of the class
+//	class            from the fields in the statement's comment, if present; otherwise from the kind of statement
+//	idempotency key  insert_deduplication_token; without it, a key of the request's own
+//	order key        the header or setting that the local settings name; without it, the tables that are written
+func (srv *Server) readQuery(head *http1.Head, body []byte) (*query, error) {
+	_, parameters, err := parseTarget(head.Target)
 	if err != nil {
 		return nil, err
 	}
-	name, password, err := user(h, v)
+	name, password, err := readCredentials(head, parameters)
 	if err != nil {
 		return nil, err
 	}
-	quota := first(v["quota_key"], h.Get("x-clickhouse-quota"))
-	tenant, err := f.tenant(name, password, quota)
+	quotaKey := firstNonEmpty(parameters["quota_key"], head.Get("x-clickhouse-quota"))
+	tenant, err := srv.authenticate(name, password, quotaKey)
 	if err != nil {
 		return nil, err
 	}
-	q := &query{user: name, id: v["query_id"], session: v["session_id"], parameter: v, head: h.Method == "HEAD",
-		progress: enabled(v["send_progress_in_http_headers"]), pack: enabled(v["compress"])}
-	if len(q.id) > mostID || len(q.session) > mostID {
-		return nil, except(codeBadArguments, "an id over %d bytes", mostID)
+	q := &query{user: name, id: parameters["query_id"], sessionID: parameters["session_id"], parameters: parameters,
+		headOnly: head.Method == "HEAD", wantsProgress: enabled(parameters["send_progress_in_http_headers"]),
+		compressBlocks: enabled(parameters["compress"])}
+	if len(q.id) > maxIDBytes || len(q.sessionID) > maxIDBytes {
+		return nil, newException(codeBadArguments, "an id over %d bytes", maxIDBytes)
 	}
 	for i := 0; i < len(q.id); i++ {
 		if q.id[i] < ' ' || q.id[i] == 0x7f {
-			return nil, except(codeBadArguments, "byte %q in query_id", q.id[i])
+			return nil, newException(codeBadArguments, "byte %q in query_id", q.id[i])
 		}
 	}
-	if q.session != "" && enabled(v["session_check"]) {
-		return nil, except(codeNoSession, "Session %.60q not found: no session is kept between two queries", q.session)
+	if q.sessionID != "" && enabled(parameters["session_check"]) {
+		return nil, newException(codeSessionNotFound, "Session %.60q not found: no session is kept between two queries",
+			q.sessionID)
 	}
-	if enabled(v["enable_http_compression"]) {
-		q.encoding = accepted(h.Get("accept-encoding"))
+	if enabled(parameters["enable_http_compression"]) {
+		q.contentEncoding = chooseEncoding(head.Get("accept-encoding"))
 	}
-	q.options.quote64 = v["output_format_json_quote_64bit_integers"] != "0"
-	if p := v["client_protocol_version"]; p != "" {
-		if q.options.revision, err = strconv.ParseUint(p, 10, 32); err != nil {
-			return nil, except(codeBadArguments, "client_protocol_version %.20q", p)
+	q.options.quote64Bit = parameters["output_format_json_quote_64bit_integers"] != "0"
+	if version := parameters["client_protocol_version"]; version != "" {
+		if q.options.revision, err = strconv.ParseUint(version, 10, 32); err != nil {
+			return nil, newException(codeBadArguments, "client_protocol_version %.20q", version)
 		}
 	}
-	if body, err = unpacked(h.Get("content-encoding"), enabled(v["decompress"]), body, f.Config.Local.ClickHouse.MaxBodyBytes); err != nil {
+	if body, err = decompressBody(head.Get("content-encoding"), enabled(parameters["decompress"]), body,
+		srv.Config.Local.ClickHouse.MaxBodyBytes); err != nil {
 		return nil, err
 	}
-	text, data := v["query"], []byte(nil)
+	text, data := parameters["query"], []byte(nil)
 	if text == "" {
 		text = string(body)
 	} else {
 		data = body
 	}
-	return q, f.request(q, h, v, tenant, text, data)
+	return q, srv.fillRequest(q, head, parameters, tenant, text, data)
 }
 
-// request fills in what goes to the coordinator.
-func (f *Front) request(q *query, h *http1.Head, v map[string]string, tenant, text string, data []byte) error {
+// fillRequest creates the request for the coordinator and stores it in the query. data is what follows the text of an INSERT.
+func (srv *Server) fillRequest(q *query, head *http1.Head, parameters map[string]string, tenant, text string, data []byte) error {
 	if strings.Trim(text, " \t\r\n;") == "" {
-		return except(codeSyntax, "Syntax error: Empty query")
+		return newException(codeSyntax, "Syntax error: Empty query")
 	}
-	r, limit, err := &coordinator.Request{}, 0.0, error(nil)
+	request, commentLimit, err := &coordinator.Request{}, 0.0, error(nil)
 	if fields.HasFields(text) {
-		if r, limit, err = fields.Parse(text); err != nil {
-			return except(codeSyntax, "%v", err)
+		if request, commentLimit, err = fields.Parse(text); err != nil {
+			return newException(codeSyntax, "%v", err)
 		}
-		text = r.Statement
+		text = request.Statement
 	} else {
-		r.ID = fmt.Sprintf("%016x", f.Random.Uint64())
+		request.ID = fmt.Sprintf("%016x", srv.Random.Uint64())
 	}
-	q.Request = r
-	if r.Tenant == "" {
-		r.Tenant = tenant
+	q.Request = request
+	if request.Tenant == "" {
+		request.Tenant = tenant
 	}
-	if r.Tenant != tenant && len(f.Config.Local.Users) > 0 {
-		return except(codeAuth, "user %.60s does not belong to %.60s", q.user, r.Tenant)
+	if request.Tenant != tenant && len(srv.Config.Local.Users) > 0 {
+		return newException(codeAuth, "user %.60s does not belong to %.60s", q.user, request.Tenant)
 	}
-	q.format = first(v["default_format"], first(h.Get("x-clickhouse-format"), "TabSeparated"))
-	if name, at, ok := shape.FindFormatClause(text); ok {
+	q.format = firstNonEmpty(parameters["default_format"], firstNonEmpty(head.Get("x-clickhouse-format"), "TabSeparated"))
+	if name, clause, ok := shape.FindFormatClause(text); ok {
 		q.format = name
-		text = strings.TrimRight(text[:at.Start], " \t\r\n") + text[at.End:]
+		text = strings.TrimRight(text[:clause.Start], " \t\r\n") + text[clause.End:]
 	}
 	if _, ok := formats[q.format]; !ok {
-		return except(codeUnknownFormat, "Unknown format %.60s", q.format)
-	}
-	ch := &coordinator.ClickHouse{Text: text, Data: data, Database: first(v["database"], h.Get("x-clickhouse-database"))}
-	params := map[string]string{}
-	for _, name := range sorted(v) {
-		if p, ok := strings.CutPrefix(name, "param_"); ok {
-			params[p] = v[name]
-			ch.Params = append(ch.Params, [2]string{p, v[name]})
-		} else if !own[name] && name != f.Config.Local.ClickHouse.KeySetting && name != "max_execution_time" && name != "insert_deduplication_token" {
-			ch.Settings = append(ch.Settings, [2]string{name, v[name]})
+		return newException(codeUnknownFormat, "Unknown format %.60s", q.format)
+	}
+	clickHouse := &coordinator.ClickHouse{Text: text, Data: data,
+		Database: firstNonEmpty(parameters["database"], head.Get("x-clickhouse-database"))}
+	queryParams := map[string]string{}
+	for _, name := range sortedNames(parameters) {
+		if param, ok := strings.CutPrefix(name, "param_"); ok {
+			queryParams[param] = parameters[name]
+			clickHouse.Params = append(clickHouse.Params, [2]string{param, parameters[name]})
+		} else if !interfaceParameters[name] && name != srv.Config.Local.ClickHouse.KeySetting &&
+			name != "max_execution_time" && name != "insert_deduplication_token" {
+			clickHouse.Settings = append(clickHouse.Settings, [2]string{name, parameters[name]})
 		}
 	}
-	whole, err := shape.SubstituteParameters(text, func(name, typ string) (string, error) {
-		value, ok := params[name]
+	statement, err := shape.SubstituteParameters(text, func(name, typ string) (string, error) {
+		value, ok := queryParams[name]
 		if !ok {
-			return "", except(codeBadParameter, "Query parameter `%.60s` was not set", name)
+			return "", newException(codeBadParameter, "Query parameter `%.60s` was not set", name)
 		}
-		return rendered(name, value, typ)
+		return parameterLiteral(name, value, typ)
 	})
 	if err != nil {
 		return err
 	}
-	r.Dialect, r.ClickHouse, r.Statement = shape.ClickHouse, ch, whole
+	request.Dialect, request.ClickHouse, request.Statement = shape.ClickHouse, clickHouse, statement
 	if len(data) > 0 {
-		r.Statement += "\n" + string(data)
+		request.Statement += "\n" + string(data)
 	}
-	f.Coordinator.Recognise(r)
-	if h.Method != "POST" && r.Shape.Kind == shape.Write { // what may be asked again by any proxy must not write
-		return except(codeReadonly, "Cannot execute query in readonly mode. For queries over HTTP, method GET implies readonly.")
+	srv.Coordinator.Recognise(request)
+	if head.Method != "POST" && request.Shape.Kind == shape.Write { // proxies may repeat GET and HEAD, so these must not write
+		return newException(codeReadonly,
+			"Cannot execute query in readonly mode. For queries over HTTP, method GET implies readonly.")
 	}
-	if r.Class == "" {
-		class, ok := f.Config.ClassRules().ClassOf(r.Shape.Kind)
+	if request.Class == "" {
+		class, ok := srv.Config.ClassRules().ClassOf(request.Shape.Kind)
 		if !ok {
-			return except(codeBadArguments, "no class for a statement that is %v", r.Shape.Kind)
+			return newException(codeBadArguments, "no class for a statement that is %v", request.Shape.Kind)
 		}
-		r.Class = class
+		request.Class = class
 	}
-	if q.limit, err = f.limit(r.Class, v["max_execution_time"], limit); err != nil {
+	if q.timeLimit, err = srv.timeLimit(request.Class, parameters["max_execution_time"], commentLimit); err != nil {
 		return err
 	}
-	if t := v["insert_deduplication_token"]; t != "" {
-		if r.IdempotencyKey, err = fields.ParseWord(t); err != nil {
-			return except(codeBadArguments, "insert_deduplication_token: %v", err)
+	if token := parameters["insert_deduplication_token"]; token != "" {
+		if request.IdempotencyKey, err = fields.ParseWord(token); err != nil {
+			return newException(codeBadArguments, "insert_deduplication_token: %v", err)
 		}
 	}
-	if k := first(h.Get(f.Config.Local.ClickHouse.KeyHeader), v[f.Config.Local.ClickHouse.KeySetting]); k != "" {
-		if r.OrderKey, err = fields.ParseWord(k); err != nil {
-			return except(codeBadArguments, "%s: %v", f.Config.Local.ClickHouse.KeySetting, err)
+	if orderKey := firstNonEmpty(head.Get(srv.Config.Local.ClickHouse.KeyHeader),
+		parameters[srv.Config.Local.ClickHouse.KeySetting]); orderKey != "" {
+		if request.OrderKey, err = fields.ParseWord(orderKey); err != nil {
+			return newException(codeBadArguments, "%s: %v", srv.Config.Local.ClickHouse.KeySetting, err)
 		}
 	}
-	for _, c := range f.Config.Scheduler.Classes {
-		if c.Name != r.Class {
+	for _, class := range srv.Config.Scheduler.Classes {
+		if class.Name != request.Class {
 			continue
 		}
-		if c.InOrder && r.OrderKey == "" {
-			r.OrderKey = "tables:" + strings.Join(r.Shape.Writes, "+")
+		if class.InOrder && request.OrderKey == "" {
+			request.OrderKey = "tables:" + strings.Join(request.Shape.Writes, "+")
 		}
-		if c.Idempotency == choice.Deduplicated && r.IdempotencyKey == "" {
-			r.IdempotencyKey = "once-" + r.ID
+		if class.Idempotency == choice.Deduplicated && request.IdempotencyKey == "" {
+			request.IdempotencyKey = "once-" + request.ID
 		}
 	}
-	if err := f.Coordinator.Check(r); err != nil {
-		return except(codeBadArguments, "%v", err)
+	if err := srv.Coordinator.Check(request); err != nil {
+		return newException(codeBadArguments, "%v", err)
 	}
 	return nil
 }
 
-// limit is how long a request may take, in ms.
-func (f *Front) limit(class, seconds string, told float64) (float64, error) {
-	limit := mostLimit
-	for _, c := range f.Config.Scheduler.Classes {
-		if c.Name == class && c.ClientTimeout > 0 {
-			limit = c.ClientTimeout
+// timeLimit returns how long a request may take, in ms: the lowest of the limits of its class, its comment (0: none) and its
+// max_execution_time, in seconds ("" or 0: none).
+func (srv *Server) timeLimit(class, seconds string, commentLimit float64) (float64, error) {
+	limit := maxTimeLimit
+	for _, settings := range srv.Config.Scheduler.Classes {
+		if settings.Name == class && settings.ClientTimeout > 0 {
+			limit = settings.ClientTimeout
 		}
 	}
-	if told > 0 {
-		limit = min(limit, told)
+	if commentLimit > 0 {
+		limit = min(limit, commentLimit)
 	}
 	if seconds == "" {
 		return limit, nil
 	}
-	s, err := strconv.ParseFloat(seconds, 64)
-	if err != nil || !(s >= 0 && s <= 1e9) {
-		return 0, except(codeBadArguments, "max_execution_time %.40q", seconds)
+	parsed, err := strconv.ParseFloat(seconds, 64)
+	if err != nil || !(parsed >= 0 && parsed <= 1e9) {
+		return 0, newException(codeBadArguments, "max_execution_time %.40q", seconds)
 	}
-	if s > 0 { // 0 means no limit of the request's own
-		limit = min(limit, s*1000)
+	if parsed > 0 { // 0 sets no limit
+		limit = min(limit, parsed*1000)
 	}
 	return limit, nil
 }
 
-func sorted(v map[string]string) []string {
-	names := make([]string, 0, len(v))
-	for n := range v {
-		names = append(names, n)
+// sortedNames returns the names of the parameters in alphabetical order.
+func sortedNames(parameters map[string]string) []string {
+	names := make([]string, 0, len(parameters))
+	for name := range parameters {
+		names = append(names, name)
 	}
 	slices.Sort(names)
 	return names
 }
 
-// rendered is a parameter's value as a literal of its type. Danger: a value never stands in the text as it came.
-func rendered(name, value, typ string) (string, error) {
-	bad := except(codeBadParameter, "Value %.60q cannot be parsed as %.60s for query parameter '%.60s'", value, typ, name)
-	if typ == "Identifier" {
+// parameterLiteral returns the value of a query parameter as a literal of its type. Danger: a value that was put into the text
+// unchanged could alter the query (SQL injection).
+func parameterLiteral(name, value, typeName string) (string, error) {
+	invalid := newException(codeBadParameter, "Value %.60q cannot be parsed as %.60s for query parameter '%.60s'",
+		value, typeName, name)
+	if typeName == "Identifier" {
 		if value == "" || strings.IndexByte(value, 0) >= 0 {
-			return "", bad
+			return "", invalid
 		}
 		return "`" + strings.NewReplacer("\\", "\\\\", "`", "\\`").Replace(value) + "`", nil
 	}
-	t := parseType(typ)
+	t := parseType(typeName)
 	if t.nullable && value == `\N` {
 		return "NULL", nil
 	}
-	// Values come escaped as a TabSeparated cell is.
-	value = unescaped(value)
+	// Values are escaped like TabSeparated cells.
+	value = unescape(value)
 	if t.kind == kindText {
-		return "", except(codeBadParameter, "query parameter '%.60s': type %.60s is not known", name, typ)
+		return "", newException(codeBadParameter, "query parameter '%.60s': type %.60s is not known", name, typeName)
 	}
-	if _, err := t.binaryValue(nil, value); err != nil {
-		if t.kind == kindDateTime || t.kind == kindDateTime64 { // also as a number of seconds
+	if _, err := t.appendBinary(nil, value); err != nil {
+		if t.kind == kindDateTime || t.kind == kindDateTime64 { // a number of seconds is also valid
 			if _, nerr := strconv.ParseUint(value, 10, 32); nerr == nil {
 				return value, nil
 			}
 		}
-		return "", bad
+		return "", invalid
 	}
 	switch t.kind {
 	case kindInt, kindUint, kindBool:
@@ -400,14 +425,12 @@
 		if isNumber(value) {
 			return value, nil
 		}
-		return "", bad
+		return "", invalid
 	}
-	return quote(value), nil
+	return quoteLiteral(value), nil
 }
 
-// quote is a text as a literal that PostgreSQL and ClickHouse read alike, where it holds no backslash.
-func quote(s string) string {
+// quoteLiteral returns a text as a string literal. PostgreSQL and ClickHouse read it alike if the text has no backslash.
+func quoteLiteral(s string) string {
 	return "'" + strings.NewReplacer(`\`, `\\`, "'", "''").Replace(s) + "'"
 }
-
-// The queries with which clients greet, answered here: they ask about the server and run nowhere.
--- a/internal/chhttp/types.go
+++ b/internal/chhttp/types.go
@@ -12,11 +12,11 @@
 	"time"
 )
 
-// kind groups the types that are written alike.
+// kind groups the column types whose values are written in the same way.
 type kind uint8
 
 const (
-	kindText kind = iota // and all that is passed on as text
+	kindText kind = iota // any type that is not known; its values are passed on as text
 	kindInt
 	kindUint
 	kindFloat
@@ -34,21 +34,21 @@
 	kindIPv6
 )
 
-// typ is a column's type, as far as results need it.
-type typ struct {
-	name     string // as it stands in binary results: without LowCardinality, which they would write in another way
-	kind     kind
-	bytes    int
-	scale    int
-	nullable bool
-	zone     *time.Location
-	enum     map[string]int64
+// columnType holds the properties of a column's type that are needed to write its values.
+type columnType struct {
+	name        string // in binary results; without LowCardinality, whose values have another encoding
+	kind        kind
+	size        int // bytes of a value; 0: variable
+	scale       int // decimal places of a Decimal or DateTime64
+	nullable    bool
+	location    *time.Location   // time zone of a DateTime or DateTime64
+	enumNumbers map[string]int64 // of an Enum
 }
 
-// plainTypes are the types without anything in brackets.
-var plainTypes = map[string]struct {
-	kind  kind
-	bytes int
+// simpleTypes holds the types without arguments, by name.
+var simpleTypes = map[string]struct {
+	kind kind
+	size int
 }{
 	"UInt8": {kindUint, 1}, "UInt16": {kindUint, 2}, "UInt32": {kindUint, 4}, "UInt64": {kindUint, 8},
 	"Int8": {kindInt, 1}, "Int16": {kindInt, 2}, "Int32": {kindInt, 4}, "Int64": {kindInt, 8},
@@ -57,180 +57,184 @@
 	"IPv4": {kindIPv4, 4}, "IPv6": {kindIPv6, 16},
 }
 
-// zones keeps what was read of time zones: each is a file of the system's.
-var zones = map[string]*time.Location{"": time.UTC, "UTC": time.UTC}
+// cachedZones holds the time zones loaded so far, by name, as loading one reads a file.
+var cachedZones = map[string]*time.Location{"": time.UTC, "UTC": time.UTC}
 
-const mostZones = 600
+// maxCachedZones limits the cache, as the names come from engines and clients.
+const maxCachedZones = 600
 
-func zone(name string) (*time.Location, error) {
-	if z, ok := zones[name]; ok {
-		return z, nil
+// loadZone returns a time zone from the cache or the system's files. Names that could be paths to other files are refused.
+func loadZone(name string) (*time.Location, error) {
+	if location, ok := cachedZones[name]; ok {
+		return location, nil
 	}
-	if len(zones) > mostZones || strings.HasPrefix(name, "/") || strings.Contains(name, "..") {
+	if len(cachedZones) > maxCachedZones || strings.HasPrefix(name, "/") || strings.Contains(name, "..") {
 		return nil, fmt.Errorf("time zone %.40q", name)
 	}
-	z, err := time.LoadLocation(name)
+	location, err := time.LoadLocation(name)
 	if err == nil {
-		zones[name] = z
+		cachedZones[name] = location
 	}
-	return z, err
+	return location, err
 }
 
-// inside gives what stands in the brackets of a type.
-func inside(s, outer string) (string, bool) {
-	if !strings.HasPrefix(s, outer+"(") || !strings.HasSuffix(s, ")") {
+// typeArguments returns the text in the parentheses of a type, if the type has the given name and parentheses.
+func typeArguments(text, typeName string) (string, bool) {
+	if !strings.HasPrefix(text, typeName+"(") || !strings.HasSuffix(text, ")") {
 		return "", false
 	}
-	return strings.TrimSpace(s[len(outer)+1 : len(s)-1]), true
+	return strings.TrimSpace(text[len(typeName)+1 : len(text)-1]), true
 }
 
-// parseType reads a type. One that is not known is passed on as text, and can't be written in binary formats.
-func parseType(s string) typ {
-	s = strings.TrimSpace(s)
-	if in, ok := inside(s, "LowCardinality"); ok {
-		return parseType(in)
+// parseType parses the name of a type. Values of an unknown type are passed on as text and can't be written in binary formats.
+func parseType(text string) columnType {
+	text = strings.TrimSpace(text)
+	if inner, ok := typeArguments(text, "LowCardinality"); ok {
+		return parseType(inner)
 	}
-	if in, ok := inside(s, "Nullable"); ok {
-		t := parseType(in)
+	if inner, ok := typeArguments(text, "Nullable"); ok {
+		t := parseType(inner)
 		t.nullable, t.name = true, "Nullable("+t.name+")"
 		return t
 	}
-	if in, ok := inside(s, "SimpleAggregateFunction"); ok {
-		if _, of, ok := strings.Cut(in, ","); ok {
-			return parseType(of)
+	if inner, ok := typeArguments(text, "SimpleAggregateFunction"); ok {
+		if _, valueType, ok := strings.Cut(inner, ","); ok {
+			return parseType(valueType)
 		}
 	}
-	t := typ{name: s}
-	set := func(k kind, bytes int) typ { t.kind, t.bytes = k, bytes; return t }
-	if p, ok := plainTypes[s]; ok {
-		t.zone = time.UTC
-		return set(p.kind, p.bytes)
+	t := columnType{name: text}
+	set := func(k kind, size int) columnType { t.kind, t.size = k, size; return t }
+	if simple, ok := simpleTypes[text]; ok {
+		t.location = time.UTC
+		return set(simple.kind, simple.size)
 	}
-	if in, ok := inside(s, "FixedString"); ok {
-		if n, err := strconv.Atoi(in); err == nil && n > 0 && n <= 1<<16 {
+	if inner, ok := typeArguments(text, "FixedString"); ok {
+		if n, err := strconv.Atoi(inner); err == nil && n > 0 && n <= 1<<16 {
 			return set(kindFixed, n)
 		}
 	}
-	if in, ok := inside(s, "DateTime"); ok {
-		if z, err := zone(strings.Trim(in, "'")); err == nil {
-			t.zone = z
+	if inner, ok := typeArguments(text, "DateTime"); ok {
+		if location, err := loadZone(strings.Trim(inner, "'")); err == nil {
+			t.location = location
 			return set(kindDateTime, 4)
 		}
 	}
-	if in, ok := inside(s, "DateTime64"); ok {
-		p, name, _ := strings.Cut(in, ",")
-		n, err := strconv.Atoi(strings.TrimSpace(p))
-		z, zerr := zone(strings.Trim(strings.TrimSpace(name), "'"))
-		if err == nil && zerr == nil && n >= 0 && n <= 9 {
-			t.zone, t.scale = z, n
+	if inner, ok := typeArguments(text, "DateTime64"); ok {
+		first, name, _ := strings.Cut(inner, ",")
+		scale, err := strconv.Atoi(strings.TrimSpace(first))
+		location, zoneErr := loadZone(strings.Trim(strings.TrimSpace(name), "'"))
+		if err == nil && zoneErr == nil && scale >= 0 && scale <= 9 {
+			t.location, t.scale = location, scale
 			return set(kindDateTime64, 8)
 		}
 	}
-	if in, ok := inside(s, "Decimal"); ok {
-		p, sc, _ := strings.Cut(in, ",")
-		n, err := strconv.Atoi(strings.TrimSpace(p))
-		k, serr := strconv.Atoi(strings.TrimSpace(sc))
-		if err == nil && serr == nil && n >= 1 && n <= 76 && k >= 0 && k <= n {
-			t.scale = k
-			for _, b := range [][2]int{{9, 4}, {18, 8}, {38, 16}, {76, 32}} {
-				if n <= b[0] {
-					return set(kindDecimal, b[1])
+	if inner, ok := typeArguments(text, "Decimal"); ok {
+		first, second, _ := strings.Cut(inner, ",")
+		precision, err := strconv.Atoi(strings.TrimSpace(first))
+		scale, scaleErr := strconv.Atoi(strings.TrimSpace(second))
+		if err == nil && scaleErr == nil && precision >= 1 && precision <= 76 && scale >= 0 && scale <= precision {
+			t.scale = scale
+			for _, digitsAndSize := range [][2]int{{9, 4}, {18, 8}, {38, 16}, {76, 32}} {
+				if precision <= digitsAndSize[0] {
+					return set(kindDecimal, digitsAndSize[1])
 				}
 			}
 		}
 	}
-	for _, e := range []struct {
-		name  string
-		bytes int
+	for _, enum := range []struct {
+		name string
+		size int
 	}{{"Enum8", 1}, {"Enum16", 2}} {
-		if in, ok := inside(s, e.name); ok {
-			if t.enum = enumValues(in); t.enum != nil {
-				return set(kindEnum, e.bytes)
+		if inner, ok := typeArguments(text, enum.name); ok {
+			if t.enumNumbers = parseEnum(inner); t.enumNumbers != nil {
+				return set(kindEnum, enum.size)
 			}
 		}
 	}
 	return t
 }
 
-// enumValues reads 'a' = 1, 'b' = 2; nil if it can't.
-func enumValues(s string) map[string]int64 {
-	all := map[string]int64{}
-	for s = strings.TrimSpace(s); s != ""; {
-		if s[0] != '\'' {
+// parseEnum parses the arguments of an Enum, such as 'a' = 1, 'b' = 2. It returns nil if they are invalid.
+func parseEnum(text string) map[string]int64 {
+	numbers := map[string]int64{}
+	for text = strings.TrimSpace(text); text != ""; {
+		if text[0] != '\'' {
 			return nil
 		}
 		var name []byte
 		i := 1
-		for ; i < len(s) && s[i] != '\''; i++ {
-			if s[i] == '\\' && i+1 < len(s) {
+		for ; i < len(text) && text[i] != '\''; i++ {
+			if text[i] == '\\' && i+1 < len(text) {
 				i++
 			}
-			name = append(name, s[i])
+			name = append(name, text[i])
 		}
-		if i >= len(s) {
+		if i >= len(text) {
 			return nil
 		}
-		number, rest, _ := strings.Cut(s[i+1:], ",")
+		number, rest, _ := strings.Cut(text[i+1:], ",")
 		number, ok := strings.CutPrefix(strings.TrimSpace(number), "=")
-		v, err := strconv.ParseInt(strings.TrimSpace(number), 10, 16)
+		value, err := strconv.ParseInt(strings.TrimSpace(number), 10, 16)
 		if !ok || err != nil {
 			return nil
 		}
-		all[string(name)] = v
-		s = strings.TrimSpace(rest)
+		numbers[string(name)] = value
+		text = strings.TrimSpace(rest)
 	}
-	return all
+	return numbers
 }
 
-// number tells whether a value of the type stands without quotes in JSON; large is for those of 64 bits and more.
-func (t *typ) number() (bare, large bool) {
+// unquoted reports whether values of the type are written without quotes in JSON and CSV, and whether they are integers of 64
+// or more bits.
+func (t *columnType) unquoted() (unquoted, large bool) {
 	switch t.kind {
 	case kindInt, kindUint:
-		return true, t.bytes >= 8
+		return true, t.size >= 8
 	case kindFloat, kindBool:
 		return true, false
 	}
 	return false, false
 }
 
-func little(dst []byte, v uint64, bytes int) []byte {
+// appendLittleEndian appends the lowest bytes of a number, lowest first.
+func appendLittleEndian(dst []byte, number uint64, size int) []byte {
 	var b [8]byte
-	binary.LittleEndian.PutUint64(b[:], v)
-	return append(dst, b[:bytes]...)
+	binary.LittleEndian.PutUint64(b[:], number)
+	return append(dst, b[:size]...)
 }
 
-// binaryValue adds a value as RowBinary and Native have it, NULL aside.
-func (t *typ) binaryValue(dst []byte, text string) ([]byte, error) {
-	bad := func() ([]byte, error) { return dst, fmt.Errorf("%.60q is no %s", text, t.name) }
+// appendBinary appends a value other than NULL in the encoding of RowBinary and Native.
+func (t *columnType) appendBinary(dst []byte, text string) ([]byte, error) {
+	invalid := func() ([]byte, error) { return dst, fmt.Errorf("%.60q is no %s", text, t.name) }
 	switch t.kind {
 	case kindString:
 		return append(binary.AppendUvarint(dst, uint64(len(text))), text...), nil
 	case kindFixed:
-		if len(text) > t.bytes {
-			return bad()
+		if len(text) > t.size {
+			return invalid()
 		}
-		return append(append(dst, text...), make([]byte, t.bytes-len(text))...), nil
+		return append(append(dst, text...), make([]byte, t.size-len(text))...), nil
 	case kindUint:
-		v, err := strconv.ParseUint(text, 10, t.bytes*8)
+		v, err := strconv.ParseUint(text, 10, t.size*8)
 		if err != nil {
-			return bad()
+			return invalid()
 		}
-		return little(dst, v, t.bytes), nil
+		return appendLittleEndian(dst, v, t.size), nil
 	case kindInt:
-		v, err := strconv.ParseInt(text, 10, t.bytes*8)
+		v, err := strconv.ParseInt(text, 10, t.size*8)
 		if err != nil {
-			return bad()
+			return invalid()
 		}
-		return little(dst, uint64(v), t.bytes), nil
+		return appendLittleEndian(dst, uint64(v), t.size), nil
 	case kindFloat:
-		v, err := strconv.ParseFloat(text, t.bytes*8)
+		v, err := strconv.ParseFloat(text, t.size*8)
 		if err != nil {
-			return bad()
+			return invalid()
 		}
-		if t.bytes == 4 {
-			return little(dst, uint64(math.Float32bits(float32(v))), 4), nil
+		if t.size == 4 {
+			return appendLittleEndian(dst, uint64(math.Float32bits(float32(v))), 4), nil
 		}
-		return little(dst, math.Float64bits(v), 8), nil
+		return appendLittleEndian(dst, math.Float64bits(v), 8), nil
 	case kindBool:
 		switch text {
 		case "true", "1":
@@ -238,27 +242,27 @@
 		case "false", "0":
 			return append(dst, 0), nil
 		}
-		return bad()
+		return invalid()
 	case kindDate, kindDate32:
 		d, err := time.ParseInLocation("2006-01-02", text, time.UTC)
 		if err != nil {
-			return bad()
+			return invalid()
 		}
 		days := d.Unix() / 86400
 		if t.kind == kindDate && (days < 0 || days > math.MaxUint16) {
-			return bad()
+			return invalid()
 		}
-		return little(dst, uint64(days), t.bytes), nil
+		return appendLittleEndian(dst, uint64(days), t.size), nil
 	case kindDateTime:
-		d, err := time.ParseInLocation("2006-01-02 15:04:05", text, t.zone)
+		d, err := time.ParseInLocation("2006-01-02 15:04:05", text, t.location)
 		if err != nil || d.Unix() < 0 || d.Unix() > math.MaxUint32 {
-			return bad()
+			return invalid()
 		}
-		return little(dst, uint64(d.Unix()), 4), nil
+		return appendLittleEndian(dst, uint64(d.Unix()), 4), nil
 	case kindDateTime64:
-		d, err := time.ParseInLocation("2006-01-02 15:04:05.999999999", text, t.zone)
+		d, err := time.ParseInLocation("2006-01-02 15:04:05.999999999", text, t.location)
 		if err != nil {
-			return bad()
+			return invalid()
 		}
 		v := d.Unix()
 		for i := 0; i < t.scale; i++ {
@@ -268,63 +272,64 @@
 		for i := t.scale; i < 9; i++ {
 			part /= 10
 		}
-		return little(dst, uint64(v+part), 8), nil
+		return appendLittleEndian(dst, uint64(v+part), 8), nil
 	case kindUUID:
 		b, err := hex.DecodeString(strings.ReplaceAll(text, "-", ""))
 		if err != nil || len(b) != 16 {
-			return bad()
+			return invalid()
 		}
-		return little(little(dst, binary.BigEndian.Uint64(b), 8), binary.BigEndian.Uint64(b[8:]), 8), nil
+		return appendLittleEndian(appendLittleEndian(dst, binary.BigEndian.Uint64(b), 8), binary.BigEndian.Uint64(b[8:]), 8), nil
 	case kindIPv4:
 		a, err := netip.ParseAddr(text)
 		if err != nil || !a.Is4() {
-			return bad()
+			return invalid()
 		}
 		b := a.As4()
-		return little(dst, uint64(binary.BigEndian.Uint32(b[:])), 4), nil
+		return appendLittleEndian(dst, uint64(binary.BigEndian.Uint32(b[:])), 4), nil
 	case kindIPv6:
 		a, err := netip.ParseAddr(text)
 		if err != nil {
-			return bad()
+			return invalid()
 		}
 		b := a.As16()
 		return append(dst, b[:]...), nil
 	case kindEnum:
-		v, ok := t.enum[text]
+		v, ok := t.enumNumbers[text]
 		if !ok {
-			return bad()
+			return invalid()
 		}
-		return little(dst, uint64(v), t.bytes), nil
+		return appendLittleEndian(dst, uint64(v), t.size), nil
 	case kindDecimal:
-		return t.decimal(dst, text)
+		return t.appendDecimal(dst, text)
 	}
 	return dst, fmt.Errorf("type %.60s can't be written in binary formats", t.name)
 }
 
-func (t *typ) decimal(dst []byte, text string) ([]byte, error) {
-	whole, part, _ := strings.Cut(text, ".")
-	if len(part) > t.scale {
+// appendDecimal appends a Decimal as an integer of the type's size, in units of its last decimal place.
+func (t *columnType) appendDecimal(dst []byte, text string) ([]byte, error) {
+	whole, fraction, _ := strings.Cut(text, ".")
+	if len(fraction) > t.scale {
 		return dst, fmt.Errorf("%.60q is no %s", text, t.name)
 	}
-	v, ok := new(big.Int).SetString(whole+part+strings.Repeat("0", t.scale-len(part)), 10)
-	if !ok || v.BitLen() >= t.bytes*8 || strings.ContainsAny(text, "_+ ") {
+	value, ok := new(big.Int).SetString(whole+fraction+strings.Repeat("0", t.scale-len(fraction)), 10)
+	if !ok || value.BitLen() >= t.size*8 || strings.ContainsAny(text, "_+ ") {
 		return dst, fmt.Errorf("%.60q is no %s", text, t.name)
 	}
-	if v.Sign() < 0 { // two's complement
-		v.Add(v, new(big.Int).Lsh(big.NewInt(1), uint(t.bytes*8)))
+	if value.Sign() < 0 { // two's complement
+		value.Add(value, new(big.Int).Lsh(big.NewInt(1), uint(t.size*8)))
 	}
-	b := make([]byte, t.bytes)
-	v.FillBytes(b)
+	b := make([]byte, t.size)
+	value.FillBytes(b)
 	for i, j := 0, len(b)-1; i < j; i, j = i+1, j-1 {
 		b[i], b[j] = b[j], b[i]
 	}
 	return append(dst, b...), nil
 }
 
-// zero adds the value that stands in place of a NULL in Native.
-func (t *typ) zero(dst []byte) []byte {
+// appendZero appends the placeholder that Native has in the data of a column for a NULL.
+func (t *columnType) appendZero(dst []byte) []byte {
 	if t.kind == kindString {
 		return append(dst, 0)
 	}
-	return append(dst, make([]byte, t.bytes)...)
+	return append(dst, make([]byte, t.size)...)
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -54,7 +54,7 @@
 type Node struct {
 	Coordinator       *coordinator.Coordinator
 	Postgres          *pg.Server
-	ClickHouse        *chhttp.Front // nil: ClickHouse clients are not served
+	ClickHouse        *chhttp.Server // nil: ClickHouse clients are not served
 	Discovery         *board.Watcher
 	Shapes            *shape.Catalog
 	WallClock         *clock.Monitor // nil: the wall clock is not monitored
@@ -82,10 +82,10 @@
 	if slices.ContainsFunc(slices.Collect(maps.Values(cfg.Local.Kinds)), isClickHouse) {
 		workerGroups.MaxConns /= 2
 		clickHouse = &chengine.Fleet{Dialer: dialer, Deadlines: deadlines, Now: now, Faults: faults,
-			ConnIdle:  min(cfg.ConnIdleTimeout*connIdleShare, clickHouseConnIdle),
-			MostWires: workerGroups.MaxConns, MostResult: cfg.Local.ClickHouse.MaxResultBytes,
-			Login:    func(kind string) (string, string) { return cfg.Local.Kinds[kind].User, cfg.Local.Kinds[kind].Password },
-			MostHeld: int(cfg.MemoryMB * (1 << 20) * resultMemoryShare)}
+			ConnIdleTimeout: min(cfg.ConnIdleTimeout*connIdleShare, clickHouseConnIdle),
+			MaxConns:        workerGroups.MaxConns, MaxResultBytes: cfg.Local.ClickHouse.MaxResultBytes,
+			Credentials:      func(kind string) (string, string) { return cfg.Local.Kinds[kind].User, cfg.Local.Kinds[kind].Password },
+			MaxBufferedBytes: int(cfg.MemoryMB * (1 << 20) * resultMemoryShare)}
 		backend = &coordinator.Mux{Backends: []coordinator.Backend{workerGroups, clickHouse},
 			BackendIndex: func(listed coordinator.ListedEngine) int {
 				if isClickHouse(cfg.Local.Kinds[listed.Kind]) {
@@ -113,9 +113,9 @@
 		Discovery: &board.Watcher{Dialer: dialer, Deadlines: deadlines, Now: now, Listener: coord, Addr: cfg.DiscoveryAddr,
 			ConnectTimeout: 2 * cfg.ConnectTimeout, WarmUpTime: cfg.Scheduler.WarmUpTime}}
 	if cfg.Local.ClickHouse.Listen != "" {
-		n.ClickHouse = &chhttp.Front{Coordinator: coord, Deadlines: deadlines, Faults: faults, Now: now, Margin: answerMargin,
-			Seats: clientSlots, Random: rand.New(rand.NewSource(int64(cfg.Seed) + 2)), Config: cfg,
-			MostHeld: int(cfg.MemoryMB * (1 << 20) * bodyMemoryShare)}
+		n.ClickHouse = &chhttp.Server{Coordinator: coord, Deadlines: deadlines, Faults: faults, Now: now, Margin: answerMargin,
+			ConnLimiter: clientSlots, Random: rand.New(rand.NewSource(int64(cfg.Seed) + 2)), Config: cfg,
+			MaxHeldBytes: int(cfg.MemoryMB * (1 << 20) * bodyMemoryShare)}
 		n.ClickHouse.Start()
 	}
 	if n.snapshots = snapshots; snapshots != nil {
@@ -227,14 +227,14 @@
 func (n *Node) refuseNewRequests() {
 	n.Postgres.ShuttingDown = true
 	if n.ClickHouse != nil {
-		n.ClickHouse.Leaving = true
+		n.ClickHouse.ShuttingDown = true
 	}
 }
 
 // inFlight returns the number of attempts that may be running on an engine.
 func (n *Node) inFlight() int {
 	if n.clickHouseEngines != nil {
-		return n.workerGroups.InFlight() + n.clickHouseEngines.Out()
+		return n.workerGroups.InFlight() + n.clickHouseEngines.InFlight()
 	}
 	return n.workerGroups.InFlight()
 }
