--- a/cmd/thymeway/clickhouse_test.go
+++ b/cmd/thymeway/clickhouse_test.go
@@ -7,7 +7,7 @@
 	"errors"
 	"fmt"
 	"io"
-	stdnet "net"
+	"net"
 	"net/http"
 	"os"
 	"path/filepath"
@@ -368,7 +368,7 @@
 	for _, text := range []string{"POST /?user=acme HTTP/1.1\r\nHost: x\r\nContent-Length: 1000\r\n\r\nSELECT",
 		"POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n-1\r\n",
 		"POST /?user=acme HTTP/1.1\r\nHost: x\r\nContent-Length: 62914560\r\n\r\n", "\x16\x03\x01", "GET /?user=acme&query=SELECT+number+FROM+numbers(100000) HTTP/1.1\r\nHost: x\r\n\r\n"} {
-		c, err := stdnet.Dial("tcp", p.httpAddr)
+		c, err := net.Dial("tcp", p.httpAddr)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/thymeway/descriptors_test.go
+++ b/cmd/thymeway/descriptors_test.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 	"errors"
-	stdnet "net"
+	"net"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -48,9 +48,9 @@
 			t.Fatal("the program does not start")
 		}
 	}
-	var idle []stdnet.Conn
+	var idle []net.Conn
 	for range 60 {
-		conn, err := stdnet.Dial("tcp", addr)
+		conn, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/thymeway/main.go
+++ b/cmd/thymeway/main.go
@@ -8,7 +8,7 @@
 	"fmt"
 	"io"
 	"log/slog"
-	stdnet "net"
+	"net"
 	"os"
 	"os/signal"
 	"runtime/debug"
@@ -21,9 +21,9 @@
 	"thymeway/internal/clock"
 	"thymeway/internal/config"
 	"thymeway/internal/deadline"
+	"thymeway/internal/eventloop"
 	"thymeway/internal/logs"
 	"thymeway/internal/metrics"
-	"thymeway/internal/net"
 	"thymeway/internal/node"
 )
 
@@ -165,7 +165,7 @@
 	debug.SetGCPercent(gcPercent)
 	queue := deadline.New()
 	now := clock.New().Now
-	loop := &net.Loop{Deadlines: queue, Now: now, ConnectTimeout: c.ConnectTimeout}
+	loop := &eventloop.Loop{Deadlines: queue, Now: now, ConnectTimeout: c.ConnectTimeout}
 	n, err := node.New(c, loop, queue, now, loop.RequestTurn)
 	if err != nil {
 		return err
@@ -191,7 +191,7 @@
 		}
 	}()
 	if c.Local.MetricsListen != "" {
-		l, err := stdnet.Listen("tcp", c.Local.MetricsListen)
+		l, err := net.Listen("tcp", c.Local.MetricsListen)
 		if err != nil {
 			return fmt.Errorf("[metrics] listen: %w", err)
 		}
@@ -204,7 +204,7 @@
 
 // snapshotFunc returns a function with which other goroutines get a copy of the event loop's counters. Calls are served one at
 // a time; a call that is not served before its context ends returns the context's error.
-func snapshotFunc(loop *net.Loop, n *node.Node) func(context.Context) (metrics.Snapshot, error) {
+func snapshotFunc(loop *eventloop.Loop, n *node.Node) func(context.Context) (metrics.Snapshot, error) {
 	inUse := make(chan struct{}, 1)
 	return func(ctx context.Context) (metrics.Snapshot, error) {
 		select {
--- a/cmd/thymeway/main_test.go
+++ b/cmd/thymeway/main_test.go
@@ -3,7 +3,7 @@
 import (
 	"bufio"
 	"fmt"
-	stdnet "net"
+	"net"
 	"os"
 	"path/filepath"
 	"regexp"
@@ -13,12 +13,12 @@
 	"time"
 
 	"thymeway/internal/config"
-	"thymeway/internal/conftest"
+	"thymeway/internal/configtest"
 )
 
 // listen returns a listener on a free local port, and its address.
-func listen(t testing.TB) (stdnet.Listener, string) {
-	l, err := stdnet.Listen("tcp", "127.0.0.1:0")
+func listen(t testing.TB) (net.Listener, string) {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,7 +30,7 @@
 // the listed worker groups unless it is empty.
 func writeConfig(t testing.TB, file string, groups []string, pairs ...string) {
 	t.Helper()
-	text := string(conftest.ExampleText(t))
+	text := string(configtest.ExampleText(t))
 	if len(groups) > 0 {
 		text = regexp.MustCompile(`(?s)"members": \[.*?\]`).ReplaceAllLiteralString(text, `"members": [`+strings.Join(groups, ",")+`]`)
 	}
@@ -55,9 +55,9 @@
 }
 
 // acceptWatch accepts a connection on l and reads the request to watch for events after revision rev.
-func acceptWatch(t *testing.T, l stdnet.Listener, rev int) stdnet.Conn {
+func acceptWatch(t *testing.T, l net.Listener, rev int) net.Conn {
 	t.Helper()
-	_ = l.(*stdnet.TCPListener).SetDeadline(time.Now().Add(30 * time.Second))
+	_ = l.(*net.TCPListener).SetDeadline(time.Now().Add(30 * time.Second))
 	c, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/thymeway/measure_test.go
+++ b/cmd/thymeway/measure_test.go
@@ -5,7 +5,7 @@
 	"context"
 	"fmt"
 	"io"
-	stdnet "net"
+	"net"
 	"net/http"
 	"runtime"
 	"slices"
@@ -129,9 +129,9 @@
 			for b.Loop() {
 				cluster := startCluster(b, 1, func(int, int, string) standin.Fault { return standin.Fault{Delay: 5 * time.Second} })
 				before := heap()
-				var conns []stdnet.Conn
+				var conns []net.Conn
 				for range 300 {
-					c, err := stdnet.Dial("tcp", cluster.httpAddr)
+					c, err := net.Dial("tcp", cluster.httpAddr)
 					if err != nil {
 						b.Fatal(err)
 					}
--- a/internal/account/account.go
+++ b/internal/accounting/counters.go
@@ -1,6 +1,6 @@
-// Package account counts requests, their endings and the value served, by tenant, class and protocol. Its types are used by
+// Package accounting counts requests, their endings and the value served, by tenant, class and protocol. Its types are used by
 // the event loop only; other goroutines get copies.
-package account
+package accounting
 
 import (
 	"cmp"
--- a/internal/account/account_test.go
+++ b/internal/accounting/counters_test.go
@@ -1,4 +1,4 @@
-package account
+package accounting
 
 import (
 	"testing"
--- a/internal/chengine/fleet.go
+++ b/internal/chengine/fleet.go
@@ -17,9 +17,9 @@
 	"thymeway/internal/coordinator"
 	"thymeway/internal/deadline"
 	"thymeway/internal/directory"
-	"thymeway/internal/link"
+	"thymeway/internal/faultlog"
 	"thymeway/internal/result"
-	"thymeway/internal/tally"
+	"thymeway/internal/transport"
 )
 
 // Times are in ms.
@@ -35,11 +35,11 @@
 
 // Fleet sends attempts to all listed engines that speak ClickHouse's HTTP interface. It implements coordinator.Backend.
 type Fleet struct {
-	Dialer           link.Dialer
+	Dialer           transport.Dialer
 	Deadlines        *deadline.Queue
 	Now              func() float64
 	Watcher          coordinator.AttemptListener
-	Faults           *tally.FaultLog
+	Faults           *faultlog.FaultLog
 	ConnIdleTimeout  float64 // ms after which an idle connection is closed
 	MaxConns         int     // limit over all engines
 	MaxResultBytes   int     // of one result
@@ -88,7 +88,7 @@
 	}
 	slices.SortFunc(waiting, func(a, b *attempt) int { return cmp.Compare(a.queryID, b.queryID) })
 	for _, a := range waiting {
-		a.finish(link.Expired)
+		a.finish(transport.Expired)
 	}
 }
 
@@ -99,15 +99,15 @@
 func (f *Fleet) Probe(id string) {
 	e, _ := f.engines.Get(id)
 	startedAt := f.Now()
-	report := func(a *answer, reason link.EndReason) {
+	report := func(a *answer, reason transport.EndReason) {
 		outcome := coordinator.Outcome{Engine: id, EndReason: reason, Duration: f.Now() - startedAt}
 		if a != nil && a.Status != 200 {
-			outcome.EndReason = link.Full
+			outcome.EndReason = transport.Full
 		}
 		f.Watcher.ProbeEnded(outcome)
 	}
 	if e == nil || e.Addr == "" {
-		report(nil, link.Unreachable)
+		report(nil, transport.Unreachable)
 		return
 	}
 	e.start(&call{build: func() []byte { return e.buildRequest("GET", "/ping", nil, "") },
@@ -146,7 +146,7 @@
 	tooLateToSend bool // the attempt had expired when its connection became available, so the query was not written
 	connLost      bool // the query's connection broke, so its answer can't arrive any more
 	finished      bool
-	endReason     link.EndReason // the reason to report once the query is known not to be running
+	endReason     transport.EndReason // the reason to report once the query is known not to be running
 	outcome       coordinator.Outcome
 	waitTimer     deadline.Entry // fires when the wait for the attempt is over
 	retryTimer    deadline.Entry // fires for the next check whether the query is running
@@ -159,7 +159,7 @@
 		queryID: request.ID + "-" + strconv.Itoa(request.Number)}
 	a.outcome = coordinator.Outcome{Request: a.ID, Engine: a.Engine, Attempt: a.Number}
 	if a.engine == nil || a.engine.Addr == "" {
-		a.finish(link.Unreachable)
+		a.finish(transport.Unreachable)
 		return
 	}
 	if f.attempts == nil {
@@ -170,7 +170,7 @@
 	a.waitTimer.Do = func() {
 		switch {
 		case !a.written:
-			a.finish(link.Unreachable)
+			a.finish(transport.Unreachable)
 		case f.Now() >= a.WaitUntil+answerSlack: // max_execution_time is over: the engine has ended the query itself
 			a.finish(a.endReason)
 		default:
@@ -178,7 +178,7 @@
 			// end of the attempt is reported once it is proven.
 			f.Watcher.RequestOverdue(a.ID)
 			if !a.cancelled {
-				a.cancel(link.NoAnswer)
+				a.cancel(transport.NoAnswer)
 			}
 			if !a.finished {
 				f.Deadlines.Set(&a.waitTimer, a.WaitUntil+answerSlack)
@@ -250,7 +250,7 @@
 }
 
 // queryDone handles the end of the query's call. Only a connection that was never established proves that nothing ran.
-func (a *attempt) queryDone(response *answer, reason link.EndReason) {
+func (a *attempt) queryDone(response *answer, reason transport.EndReason) {
 	a.queryCall = nil
 	switch {
 	case a.finished:
@@ -259,18 +259,18 @@
 	case response != nil:
 		a.processAnswer(response)
 	case a.tooLateToSend:
-		a.finish(link.Expired)
-	case !a.written && (reason == link.ConnRefused || reason == link.NoDescriptor):
+		a.finish(transport.Expired)
+	case !a.written && (reason == transport.ConnRefused || reason == transport.NoDescriptor):
 		a.finish(reason)
 	case !a.written:
-		a.finish(link.Unreachable)
+		a.finish(transport.Unreachable)
 	case a.cancelled: // the checks whether it is running go on
-	case reason == link.NoDescriptor: // the results being received exceed MaxBufferedBytes
-		a.cancel(link.Failed)
-	case reason == link.Malformed: // the answer can't be parsed, and the query may still be running
-		a.cancel(link.Malformed)
+	case reason == transport.NoDescriptor: // the results being received exceed MaxBufferedBytes
+		a.cancel(transport.Failed)
+	case reason == transport.Malformed: // the answer can't be parsed, and the query may still be running
+		a.cancel(transport.Malformed)
 	default:
-		a.connLost, a.endReason = true, link.QueryLost
+		a.connLost, a.endReason = true, transport.QueryLost
 		a.checkRunning()
 	}
 }
@@ -286,27 +286,27 @@
 	}
 	switch {
 	case code == strconv.Itoa(codeTooManyQueries):
-		a.finish(link.Full)
+		a.finish(transport.Full)
 	case rejectionCodes[code]:
 		a.outcome.Message = strings.TrimSpace(string(response.body[:min(len(response.body), maxMessageBytes)]))
-		a.finish(link.Rejected)
+		a.finish(transport.Rejected)
 	case code != "" || response.Status != 200:
-		a.finish(link.Failed)
+		a.finish(transport.Failed)
 	case endsWithException(response):
 		a.fleet.Faults.Add("engine-fault-behind-status", "engine", a.Engine, "bytes", len(response.body))
-		a.finish(link.Failed)
+		a.finish(transport.Failed)
 	default:
 		set, err := result.Parse(response.body)
 		if err != nil {
 			a.fleet.Faults.Add("engine-spoilt", "engine", a.Engine, "what", "result", "error", err)
-			a.finish(link.Failed)
+			a.finish(transport.Failed)
 			return
 		}
 		a.outcome.Result = set
 		a.outcome.Duration = a.fleet.Now() - a.startedAt
 		elapsed, mem := parseSummary(response.Get("x-clickhouse-summary"))
 		a.outcome.Work, a.outcome.Mem = elapsed*a.Threads, mem // the scheduler counts the work of all threads
-		a.finish(link.Served)
+		a.finish(transport.Served)
 	}
 }
 
@@ -352,7 +352,7 @@
 	return number(fields.Elapsed) / 1e6, number(fields.Memory) / (1 << 20)
 }
 
-// Cancel cancels an attempt, if it is in flight. Watcher.AttemptEnded follows once the query is known not to be running.
+// Cancel cancels an attempt, if it is in flight. AttemptListener.AttemptEnded follows once the query is known not to be running.
 func (f *Fleet) Cancel(id string, number int) {
 	a := f.attempts[attemptKey{id, number}]
 	switch {
@@ -361,36 +361,36 @@
 		if a.queryCall != nil {
 			a.queryCall.abandon()
 		}
-		a.finish(link.Cancelled)
+		a.finish(transport.Cancelled)
 	default:
-		a.cancel(link.Cancelled)
+		a.cancel(transport.Cancelled)
 	}
 }
 
 // cancel kills a query that was written. The attempt finishes with the reason once the query is not running any more.
-func (a *attempt) cancel(reason link.EndReason) {
+func (a *attempt) cancel(reason transport.EndReason) {
 	a.cancelled, a.endReason = true, reason
 	a.fleet.Deadlines.Cancel(&a.retryTimer)
 	if a.controlCall != nil {
 		a.controlCall.abandon()
 		a.controlCall = nil
 	}
-	a.kill(func(*answer, link.EndReason) { a.checkRunning() })
+	a.kill(func(*answer, transport.EndReason) { a.checkRunning() })
 }
 
 // kill sends KILL QUERY over another connection, and calls done with the engine's answer. done may be nil.
-func (a *attempt) kill(done func(*answer, link.EndReason)) {
+func (a *attempt) kill(done func(*answer, transport.EndReason)) {
 	if done == nil {
-		done = func(*answer, link.EndReason) {}
+		done = func(*answer, transport.EndReason) {}
 	}
 	a.runControlQuery("KILL QUERY WHERE query_id = '"+a.queryID+"' ASYNC", done)
 }
 
 // runControlQuery sends a short query that concerns this attempt's query. At most one is in progress at a time.
-func (a *attempt) runControlQuery(text string, done func(*answer, link.EndReason)) {
+func (a *attempt) runControlQuery(text string, done func(*answer, transport.EndReason)) {
 	c := &call{timeout: controlTimeout, maxBodyBytes: maxControlBytes}
 	c.build = func() []byte { return a.engine.buildRequest("POST", "/?default_format=TabSeparated", []byte(text), "") }
-	c.done = func(r *answer, e link.EndReason) {
+	c.done = func(r *answer, e transport.EndReason) {
 		if a.controlCall == c {
 			a.controlCall = nil
 		}
@@ -405,15 +405,15 @@
 	if a.finished {
 		return
 	}
-	a.runControlQuery("SELECT count() FROM system.processes WHERE query_id = '"+a.queryID+"'", func(r *answer, e link.EndReason) {
+	a.runControlQuery("SELECT count() FROM system.processes WHERE query_id = '"+a.queryID+"'", func(r *answer, e transport.EndReason) {
 		switch {
 		case a.finished:
 		case r != nil && r.Status == 200 && string(bytes.TrimSpace(r.body)) == "0":
 			a.finish(a.endReason)
-		case e == link.ConnRefused && (a.engine.openConns == 0 || a.engine.Addr == ""):
+		case e == transport.ConnRefused && (a.engine.openConns == 0 || a.engine.Addr == ""):
 			// The engine's process has ended, and the query with it.
-			if a.endReason == link.QueryLost {
-				a.endReason = link.ProcessDied
+			if a.endReason == transport.QueryLost {
+				a.endReason = transport.ProcessDied
 			}
 			a.finish(a.endReason)
 		case r != nil && r.Status == 200 && a.connLost && !a.cancelled: // it is running, but its answer can't arrive any more
@@ -426,7 +426,7 @@
 }
 
 // finish ends the attempt and reports its outcome. Further calls have no effect.
-func (a *attempt) finish(reason link.EndReason) {
+func (a *attempt) finish(reason transport.EndReason) {
 	if a.finished {
 		return
 	}
@@ -444,7 +444,7 @@
 		defer fleet.engines.RemoveIfUnused(a.engine)
 	}
 	a.outcome.EndReason = reason
-	if reason != link.Served {
+	if reason != transport.Served {
 		a.outcome.Duration, a.outcome.Result = fleet.Now()-a.startedAt, nil
 	}
 	fleet.Watcher.AttemptEnded(a.outcome)
--- a/internal/chengine/pool.go
+++ b/internal/chengine/pool.go
@@ -8,7 +8,7 @@
 	"thymeway/internal/deadline"
 	"thymeway/internal/directory"
 	"thymeway/internal/http1"
-	"thymeway/internal/link"
+	"thymeway/internal/transport"
 )
 
 // answer is a complete answer of an engine.
@@ -24,14 +24,14 @@
 	maxBodyBytes int           // limit for the body of the answer
 	written      bool
 	progress     func(value string) // receives progress headers as they arrive; may be nil
-	done         func(a *answer, e link.EndReason)
+	done         func(a *answer, e transport.EndReason)
 	conn         *conn
 	timer        deadline.Entry
 }
 
 // abandon ignores the outcome of a call. Its connection is closed, as the answer might still arrive on it.
 func (c *call) abandon() {
-	c.done = func(*answer, link.EndReason) {}
+	c.done = func(*answer, transport.EndReason) {}
 	if cn := c.conn; cn != nil {
 		cn.close()
 	}
@@ -52,7 +52,7 @@
 type conn struct {
 	engine         *engine
 	addr           string
-	transport      link.Conn
+	transport      transport.Conn
 	call           *call
 	input          []byte      // received, but not parsed yet
 	scannedBytes   int         // of input, searched for progress headers
@@ -73,7 +73,7 @@
 // start writes a call to an idle connection, or opens a connection for it.
 func (e *engine) start(c *call) {
 	if e.Addr == "" { // the process has ended: another one listens at its address
-		c.done(nil, link.ConnRefused)
+		c.done(nil, transport.ConnRefused)
 		return
 	}
 	for count := len(e.idle); count > 0; count = len(e.idle) {
@@ -88,7 +88,7 @@
 		cn.close()
 	}
 	if !e.fleet.ensureConnCapacity() {
-		c.done(nil, link.NoDescriptor)
+		c.done(nil, transport.NoDescriptor)
 		return
 	}
 	cn := &conn{engine: e, addr: e.Addr, call: c}
@@ -132,11 +132,11 @@
 	if b == nil {
 		cn.call, c.conn = nil, nil
 		cn.makeAvailable()
-		c.done(nil, link.Unreachable)
+		c.done(nil, transport.Unreachable)
 		return
 	}
 	cn.call, c.conn, c.written = c, cn, true
-	c.timer.Do = func() { cn.closeAndFail(link.NoAnswer) }
+	c.timer.Do = func() { cn.closeAndFail(transport.NoAnswer) }
 	fleet.Deadlines.Set(&c.timer, fleet.Now()+c.timeout)
 	cn.transport.Write(b)
 }
@@ -189,7 +189,7 @@
 }
 
 // closeAndFail closes the connection and fails its call with the reason.
-func (cn *conn) closeAndFail(reason link.EndReason) {
+func (cn *conn) closeAndFail(reason transport.EndReason) {
 	c := cn.call
 	cn.close()
 	cn.call = nil
@@ -199,7 +199,7 @@
 }
 
 // Opened is called when the connection is established.
-func (cn *conn) Opened(c link.Conn) {
+func (cn *conn) Opened(c transport.Conn) {
 	cn.transport = c
 	cn.engine.openConns++
 	if cn.closed || cn.call == nil { // its call was abandoned in the meantime
@@ -208,14 +208,14 @@
 		return
 	}
 	if cn.addr != cn.engine.Addr { // danger: another engine now listens there and would run the query
-		cn.closeAndFail(link.ConnRefused)
+		cn.closeAndFail(transport.ConnRefused)
 		return
 	}
 	cn.writeCall(cn.call)
 }
 
 // Closed is called when the connection was closed by the peer or failed, or could not be established.
-func (cn *conn) Closed(reason link.EndReason) {
+func (cn *conn) Closed(reason transport.EndReason) {
 	if cn.closed {
 		return
 	}
@@ -241,12 +241,12 @@
 	a, err := cn.parseInput(b)
 	if errors.Is(err, errBufferLimit) {
 		fleet.Faults.Add("result-no-room", "engine", cn.engine.ID, "bytes", len(cn.received))
-		cn.closeAndFail(link.NoDescriptor)
+		cn.closeAndFail(transport.NoDescriptor)
 		return
 	}
 	if err != nil {
 		fleet.Faults.Add("engine-garbled", "engine", cn.engine.ID, "addr", cn.addr, "error", err)
-		cn.closeAndFail(link.Malformed)
+		cn.closeAndFail(transport.Malformed)
 		return
 	}
 	if a == nil {
@@ -260,7 +260,7 @@
 	} else {
 		cn.makeAvailable()
 	}
-	c.done(a, link.Served)
+	c.done(a, transport.Served)
 }
 
 // parseInput adds bytes to the input, passes on progress headers, and returns the answer if it is now complete.
--- a/internal/chhttp/request.go
+++ b/internal/chhttp/request.go
@@ -13,8 +13,8 @@
 
 	"thymeway/choice"
 	"thymeway/internal/coordinator"
-	"thymeway/internal/fields"
 	"thymeway/internal/http1"
+	"thymeway/internal/queryfields"
 	"thymeway/internal/shape"
 )
 
@@ -263,8 +263,8 @@
 		return newException(codeSyntax, "Syntax error: Empty query")
 	}
 	request, commentLimit, err := &coordinator.Request{}, 0.0, error(nil)
-	if fields.HasFields(text) {
-		if request, commentLimit, err = fields.Parse(text); err != nil {
+	if queryfields.HasFields(text) {
+		if request, commentLimit, err = queryfields.Parse(text); err != nil {
 			return newException(codeSyntax, "%v", err)
 		}
 		text = request.Statement
@@ -328,13 +328,13 @@
 		return err
 	}
 	if token := parameters["insert_deduplication_token"]; token != "" {
-		if request.IdempotencyKey, err = fields.ParseWord(token); err != nil {
+		if request.IdempotencyKey, err = queryfields.ParseWord(token); err != nil {
 			return newException(codeBadArguments, "insert_deduplication_token: %v", err)
 		}
 	}
 	if orderKey := firstNonEmpty(head.Get(srv.Config.Local.ClickHouse.KeyHeader),
 		parameters[srv.Config.Local.ClickHouse.KeySetting]); orderKey != "" {
-		if request.OrderKey, err = fields.ParseWord(orderKey); err != nil {
+		if request.OrderKey, err = queryfields.ParseWord(orderKey); err != nil {
 			return newException(codeBadArguments, "%s: %v", srv.Config.Local.ClickHouse.KeySetting, err)
 		}
 	}
--- a/internal/chhttp/front.go
+++ b/internal/chhttp/server.go
@@ -11,13 +11,13 @@
 	"strings"
 
 	"thymeway/internal/config"
+	"thymeway/internal/connlimit"
 	"thymeway/internal/coordinator"
 	"thymeway/internal/deadline"
+	"thymeway/internal/faultlog"
 	"thymeway/internal/http1"
-	"thymeway/internal/link"
 	"thymeway/internal/result"
-	"thymeway/internal/seats"
-	"thymeway/internal/tally"
+	"thymeway/internal/transport"
 )
 
 // Limits on the resources that one session may use. Times are in ms.
@@ -48,10 +48,10 @@
 type Server struct {
 	Coordinator  Coordinator
 	Deadlines    *deadline.Queue
-	Faults       *tally.FaultLog
+	Faults       *faultlog.FaultLog
 	Now          func() float64
 	Margin       float64 // ms by which the deadline is earlier than the client's time limit, for sending the answer
-	ConnLimiter  *seats.Limiter
+	ConnLimiter  *connlimit.Limiter
 	Random       *rand.Rand
 	Config       config.Config
 	MaxHeldBytes int  // bytes of requests that all sessions together may hold; 0: no limit
@@ -81,8 +81,8 @@
 // Session is the connection of one client.
 type Session struct {
 	server           *Server
-	conn             link.Conn
-	slot             *seats.Slot
+	conn             transport.Conn
+	slot             *connlimit.Slot
 	excess           bool // the connection is beyond the limit, so its queries are refused
 	closed           bool
 	processing       bool        // processInput is running
@@ -119,7 +119,7 @@
 }
 
 // Opened is called when the connection is established, before the other methods.
-func (s *Session) Opened(c link.Conn) {
+func (s *Session) Opened(c transport.Conn) {
 	s.conn = c
 	s.server.sessions[s] = true
 	ok := false
@@ -131,7 +131,7 @@
 	s.slot.MarkUnused()
 }
 
-// InputEmpty reports whether the connection is open and all received data has been read, as seats.Connection requires.
+// InputEmpty reports whether the connection is open and all received data has been read, as connlimit.Connection requires.
 func (s *Session) InputEmpty() bool { return s.conn.Idle() }
 
 // Evict closes the connection in favor of another one.
@@ -603,7 +603,7 @@
 }
 
 // Closed is called when the client has closed the connection or it has failed. Nobody needs the open query any more.
-func (s *Session) Closed(link.EndReason) {
+func (s *Session) Closed(transport.EndReason) {
 	if !s.closed {
 		s.cleanUp()
 	}
--- a/internal/chhttp/front_test.go
+++ b/internal/chhttp/server_test.go
@@ -6,14 +6,14 @@
 	"strings"
 	"testing"
 
-	"thymeway/internal/conftest"
+	"thymeway/internal/configtest"
+	"thymeway/internal/connlimit"
 	"thymeway/internal/coordinator"
 	"thymeway/internal/deadline"
-	"thymeway/internal/link"
+	"thymeway/internal/faultlog"
 	"thymeway/internal/result"
-	"thymeway/internal/seats"
 	"thymeway/internal/shape"
-	"thymeway/internal/tally"
+	"thymeway/internal/transport"
 )
 
 // fakeConn records what a session writes to its connection, and whether it was closed.
@@ -46,13 +46,13 @@
 
 // newTestServer returns a server for 8 connections, its coordinator and the clock that it reads.
 func newTestServer(t testing.TB) (*Server, *fakeCoordinator, *float64) {
-	settings := conftest.Example(t)
+	settings := configtest.Example(t)
 	now := 0.0
 	clock := func() float64 { return now }
 	coord := &fakeCoordinator{shape.NewCatalog(shape.Options{MaxBytes: 1 << 16}), map[string]*coordinator.Request{}}
-	faults := &tally.FaultLog{Now: clock}
+	faults := &faultlog.FaultLog{Now: clock}
 	srv := &Server{Coordinator: coord, Deadlines: deadline.New(), Faults: faults, Now: clock, Margin: 25,
-		ConnLimiter: &seats.Limiter{MaxConnections: 8, Faults: faults}, Random: rand.New(rand.NewSource(1)), Config: settings}
+		ConnLimiter: &connlimit.Limiter{MaxConnections: 8, Faults: faults}, Random: rand.New(rand.NewSource(1)), Config: settings}
 	srv.Start()
 	return srv, coord, &now
 }
@@ -165,7 +165,7 @@
 	}
 	for _, session := range all {
 		if !session.closed {
-			session.Closed(link.ConnReset)
+			session.Closed(transport.ConnReset)
 		}
 	}
 	if srv.heldBytes != 0 {
@@ -221,7 +221,7 @@
 			srv.Deadlines.RunDue(*now)
 		}
 		if !session.closed {
-			session.Closed(link.ConnReset)
+			session.Closed(transport.ConnReset)
 		}
 		for range 3 {
 			*now += 60000
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -25,7 +25,7 @@
 	MemoryMB      float64
 	Sockets       int             // descriptors that the program may use
 	DiscoveryAddr string          // IP:PORT of the discovery service
-	Known         json.RawMessage // events in the form of the discovery service; decoded by package board
+	Known         json.RawMessage // events in the form of the discovery service; decoded by package discovery
 	Scheduler     choice.Settings
 	Local         Local
 	// Settings of the program that do not concern the scheduler, in ms.
--- a/internal/conftest/conftest.go
+++ b/internal/configtest/configtest.go
@@ -1,5 +1,5 @@
-// Package conftest provides the example configuration to tests.
-package conftest
+// Package configtest provides the example configuration to tests.
+package configtest
 
 import (
 	"os"
--- a/internal/seats/seats.go
+++ b/internal/connlimit/limiter.go
@@ -1,11 +1,11 @@
-// Package seats limits the number of client connections over all protocols. At the limit, a connection that has no request
+// Package connlimit limits the number of client connections over all protocols. At the limit, a connection that has no request
 // is closed to accept a new one.
-package seats
+package connlimit
 
 import (
 	"container/list"
 
-	"thymeway/internal/tally"
+	"thymeway/internal/faultlog"
 )
 
 // Connection is a client connection.
@@ -20,7 +20,7 @@
 // Limiter holds the slots of all client connections.
 type Limiter struct {
 	MaxConnections int // 0: no limit
-	Faults         *tally.FaultLog
+	Faults         *faultlog.FaultLog
 	count          int
 	// Connections that may be closed without losing a request, longest unused first: unused ones have sent nothing yet,
 	// idle ones are between two requests.
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -7,13 +7,13 @@
 	"log/slog"
 
 	"thymeway/choice"
-	"thymeway/internal/account"
+	"thymeway/internal/accounting"
 	"thymeway/internal/deadline"
-	"thymeway/internal/link"
+	"thymeway/internal/faultlog"
 	"thymeway/internal/logs"
 	"thymeway/internal/result"
 	"thymeway/internal/shape"
-	"thymeway/internal/tally"
+	"thymeway/internal/transport"
 )
 
 // Request is a client's request, received over any protocol.
@@ -83,7 +83,7 @@
 	Request   string
 	Attempt   int
 	Engine    string
-	EndReason link.EndReason
+	EndReason transport.EndReason
 	Duration  float64 // ms
 	Work, Mem float64 // CPU ms and MB used, as reported by the engine; 0: not reported
 	Report    choice.Report
@@ -111,17 +111,17 @@
 type openRequest struct {
 	*Request
 	acceptedAt  float64
-	counts      *account.Counts
+	counts      *accounting.Counts
 	failMessage string // sent to the client on failure; the error text of the engine, if one rejected the query
 	grantMB     float64
 	sends       int // attempts sent
 	inFlight    int // attempts that have not ended
 	answered    bool
 
-	sentAt           float64        // when the latest attempt was sent
-	lastEnd          link.EndReason // end of the latest attempt that has ended
-	mayHaveRun       bool           // an attempt has ended without proof that it never ran
-	mayHaveRunSentAt float64        // time of sending the first such attempt
+	sentAt           float64             // when the latest attempt was sent
+	lastEnd          transport.EndReason // end of the latest attempt that has ended
+	mayHaveRun       bool                // an attempt has ended without proof that it never ran
+	mayHaveRunSentAt float64             // time of sending the first such attempt
 }
 
 // Coordinator connects the scheduler with clients and backends, and holds all open requests. All its methods are called
@@ -140,9 +140,9 @@
 	statements      StatementOptions
 	roles           map[string]shape.Role
 	unproven        [shape.NumReasons]uint64
-	Accounts        account.Counters
-	RetryReasons    account.ReasonCounts // repeated attempts, by the end of the previous attempt
-	UnservedReasons account.ReasonCounts // refused and failed requests, by reason
+	Accounts        accounting.Counters
+	RetryReasons    accounting.ReasonCounts // repeated attempts, by the end of the previous attempt
+	UnservedReasons accounting.ReasonCounts // refused and failed requests, by reason
 	storms          *stormMonitor
 	stormsLoggedAt  float64
 }
@@ -152,7 +152,7 @@
 	Shapes        *shape.Catalog
 	Role          func(class string) shape.Role
 	FillEstimates bool // use the learned estimate for requests without one
-	Faults        *tally.FaultLog
+	Faults        *faultlog.FaultLog
 }
 
 // New creates a Coordinator. wake must cause a call of Turn soon, but must not call it directly.
@@ -260,8 +260,8 @@
 
 // accountKey returns the key under which a request is counted. Danger: if the settings name no tenants, clients may send
 // any tenant name, and separate counts for each name would grow without bound.
-func (c *Coordinator) accountKey(r *Request) account.Key {
-	key := account.Key{Tenant: r.Tenant, Class: r.Class, Protocol: r.Protocol}
+func (c *Coordinator) accountKey(r *Request) accounting.Key {
+	key := accounting.Key{Tenant: r.Tenant, Class: r.Class, Protocol: r.Protocol}
 	if !c.knowsTenant(r.Tenant) {
 		key.Tenant = ""
 	}
@@ -275,13 +275,13 @@
 		return
 	}
 	logs.Trace("dropped", r.ID)
-	c.finish(open, account.Dropped, 0)
+	c.finish(open, accounting.Dropped, 0)
 	c.enqueue(choice.ClientGone{Request: r.ID})
 }
 
 // finish marks a request as answered, counts its ending, and removes it once no attempt is in flight. work is the work
 // reported with the result; the latency target grows with it. Without it, the estimate is used.
-func (c *Coordinator) finish(open *openRequest, ending account.Ending, work float64) {
+func (c *Coordinator) finish(open *openRequest, ending accounting.Ending, work float64) {
 	if !open.answered {
 		open.answered = true
 		c.unanswered--
@@ -289,9 +289,10 @@
 		if work <= 0 {
 			work = open.Work
 		}
-		elapsed, target := c.now()-open.acceptedAt, account.LatencyTarget(class.LatencyTarget, class.TargetStretch, work, class.Threads)
+		elapsed, target := c.now()-open.acceptedAt,
+			accounting.LatencyTarget(class.LatencyTarget, class.TargetStretch, work, class.Threads)
 		open.counts.RecordEnd(ending, elapsed, target, class.Value, class.LateValueShare)
-		c.storms.requestEnded(open.Request, ending, ending == account.Served && elapsed <= target, c.now())
+		c.storms.requestEnded(open.Request, ending, ending == accounting.Served && elapsed <= target, c.now())
 	}
 	c.removeIfDone(open)
 }
@@ -333,13 +334,13 @@
 	open.recordEnd(o.EndReason)
 	logs.Trace("ended", o.Request, "attempt", o.Attempt, "engine", o.Engine, "end", o.EndReason, "took", o.Duration,
 		"answered", open.answered)
-	if o.EndReason == link.Served {
+	if o.EndReason == transport.Served {
 		c.statements.Shapes.Learn(open.Shape, open.clientEstimate, o.Work, o.Mem)
 	}
-	if o.EndReason == link.Served && !open.answered {
+	if o.EndReason == transport.Served && !open.answered {
 		o.Result.Verb = open.Shape.Verb
 		open.Client.Serve(o.Result)
-		c.finish(open, account.Served, o.Work)
+		c.finish(open, accounting.Served, o.Work)
 	}
 	if o.Message != "" {
 		open.failMessage = o.Message
@@ -406,14 +407,14 @@
 		if open := c.requests[a.Request]; open != nil && !open.answered {
 			logs.Trace("refused", a.Request, "sends", open.sends, "why", a.Reason)
 			c.UnservedReasons.Add(open.Class, a.Reason.String())
-			c.finish(open, account.Refused, 0)
+			c.finish(open, accounting.Refused, 0)
 			open.Client.Refuse(a.RetryAfter)
 		}
 	case choice.Fail:
 		if open := c.requests[a.Request]; open != nil && !open.answered {
 			logs.Trace("failed", a.Request, "sends", open.sends, "why", a.Reason)
 			c.UnservedReasons.Add(open.Class, a.Reason.String())
-			c.finish(open, account.Failed, 0)
+			c.finish(open, accounting.Failed, 0)
 			open.Client.Fail(open.failMessage)
 		}
 	case choice.Wake:
--- a/internal/coordinator/repeat.go
+++ b/internal/coordinator/retry_log.go
@@ -4,12 +4,12 @@
 	"log/slog"
 
 	"thymeway/choice"
-	"thymeway/internal/link"
 	"thymeway/internal/logs"
+	"thymeway/internal/transport"
 )
 
 // recordEnd records the end of an attempt: the reason of the latest end, and whether any attempt may have run.
-func (r *openRequest) recordEnd(end link.EndReason) {
+func (r *openRequest) recordEnd(end transport.EndReason) {
 	r.lastEnd = end
 	if end.Result().MayHaveRun() && !r.mayHaveRun {
 		r.mayHaveRun, r.mayHaveRunSentAt = true, r.sentAt
--- a/internal/coordinator/watch.go
+++ b/internal/coordinator/storm_monitor.go
@@ -5,26 +5,26 @@
 
 	"github.com/zeebo/xxh3"
 
-	"thymeway/internal/account"
-	"thymeway/internal/surge"
+	"thymeway/internal/accounting"
+	"thymeway/internal/retrystorm"
 )
 
 // stormMonitor detects retry storms, for each tenant and for all tenants together, from the share of repeats among requests
 // and the share of requests that end without a timely result.
 type stormMonitor struct {
-	total        surge.Detector
-	byTenant     map[string]*surge.Detector
-	repeats      *surge.RepeatSketch
-	loggedStates map[string]surge.State // as last logged, by tenant; "" for all tenants
+	total        retrystorm.Detector
+	byTenant     map[string]*retrystorm.Detector
+	repeats      *retrystorm.RepeatSketch
+	loggedStates map[string]retrystorm.State // as last logged, by tenant; "" for all tenants
 }
 
 const repeatWindow = 3000.0 // ms after a refusal in which a request with the same key counts as its repeat
 
 func newStormMonitor(tenants map[string]int) *stormMonitor {
-	m := &stormMonitor{byTenant: map[string]*surge.Detector{}, repeats: surge.NewRepeatSketch(repeatWindow),
-		loggedStates: map[string]surge.State{}}
+	m := &stormMonitor{byTenant: map[string]*retrystorm.Detector{}, repeats: retrystorm.NewRepeatSketch(repeatWindow),
+		loggedStates: map[string]retrystorm.State{}}
 	for tenant := range tenants {
-		m.byTenant[tenant] = &surge.Detector{}
+		m.byTenant[tenant] = &retrystorm.Detector{}
 	}
 	return m
 }
@@ -46,7 +46,7 @@
 }
 
 // forEachDetector calls f with the detector for all tenants and with that of the given tenant, if it has one.
-func (m *stormMonitor) forEachDetector(tenant string, f func(*surge.Detector)) {
+func (m *stormMonitor) forEachDetector(tenant string, f func(*retrystorm.Detector)) {
 	f(&m.total)
 	if d := m.byTenant[tenant]; d != nil {
 		f(d)
@@ -60,20 +60,20 @@
 	if r.ClickHouse != nil && !repeat {
 		repeat = m.repeats.MatchArrival(r.repeatKey(), now)
 	}
-	m.forEachDetector(r.Tenant, func(d *surge.Detector) { d.Arrived(now, repeat) })
+	m.forEachDetector(r.Tenant, func(d *retrystorm.Detector) { d.Arrived(now, repeat) })
 }
 
 // requestEnded counts the ending of a request; onTime means that it was served within its latency target.
-func (m *stormMonitor) requestEnded(r *Request, ending account.Ending, onTime bool, now float64) {
-	if ending == account.Refused && r.ClickHouse != nil {
+func (m *stormMonitor) requestEnded(r *Request, ending accounting.Ending, onTime bool, now float64) {
+	if ending == accounting.Refused && r.ClickHouse != nil {
 		m.repeats.AddRefusal(r.repeatKey(), now)
 	}
-	m.forEachDetector(r.Tenant, func(d *surge.Detector) { d.Ended(now, onTime) })
+	m.forEachDetector(r.Tenant, func(d *retrystorm.Detector) { d.Ended(now, onTime) })
 }
 
 // logChanges logs the states that have changed since they were last logged.
 func (m *stormMonitor) logChanges(now float64) {
-	logIfChanged := func(tenant string, d *surge.Detector) {
+	logIfChanged := func(tenant string, d *retrystorm.Detector) {
 		state, _ := d.State(now)
 		if state == m.loggedStates[tenant] {
 			return
@@ -92,11 +92,11 @@
 func roundToHundredths(v float64) float64 { return float64(int(v*100+0.5)) / 100 }
 
 // StormState returns the retry storm state of a tenant, or of all tenants together for the empty name.
-func (c *Coordinator) StormState(tenant string) surge.State {
+func (c *Coordinator) StormState(tenant string) retrystorm.State {
 	detector := &c.storms.total
 	if tenant != "" {
 		if detector = c.storms.byTenant[tenant]; detector == nil {
-			return surge.Calm
+			return retrystorm.Calm
 		}
 	}
 	state, _ := detector.State(c.now())
--- a/internal/coordinator/watch_test.go
+++ b/internal/coordinator/storm_monitor_test.go
@@ -4,9 +4,9 @@
 	"fmt"
 	"testing"
 
-	"thymeway/internal/account"
+	"thymeway/internal/accounting"
+	"thymeway/internal/retrystorm"
 	"thymeway/internal/shape"
-	"thymeway/internal/surge"
 )
 
 // A retry storm of one tenant's ClickHouse clients, which repeat refused requests unmarked with the same idempotency keys,
@@ -31,35 +31,35 @@
 	for range 2000 { // 20 s without refusals
 		now += 10
 		for _, tenant := range []string{"loud", "quiet"} {
-			monitor.requestEnded(arrive(tenant, fmt.Sprint("k", n), "clickhouse", false), account.Served, true, now)
+			monitor.requestEnded(arrive(tenant, fmt.Sprint("k", n), "clickhouse", false), accounting.Served, true, now)
 		}
 	}
-	state := func(tenant string) surge.State { s, _ := monitor.byTenant[tenant].State(now); return s }
-	if state("loud") != surge.Calm || state("quiet") != surge.Calm {
+	state := func(tenant string) retrystorm.State { s, _ := monitor.byTenant[tenant].State(now); return s }
+	if state("loud") != retrystorm.Calm || state("quiet") != retrystorm.Calm {
 		t.Fatalf("before the storm: %v, %v", state("loud"), state("quiet"))
 	}
 	for i := range 300 { // every request of one tenant is refused and repeated twice
 		now += 10
 		for range 3 {
-			monitor.requestEnded(arrive("loud", fmt.Sprint("again", i), "clickhouse", false), account.Refused, false, now)
+			monitor.requestEnded(arrive("loud", fmt.Sprint("again", i), "clickhouse", false), accounting.Refused, false, now)
 		}
-		monitor.requestEnded(arrive("quiet", fmt.Sprint("q", n), "clickhouse", false), account.Served, true, now)
+		monitor.requestEnded(arrive("quiet", fmt.Sprint("q", n), "clickhouse", false), accounting.Served, true, now)
 	}
-	if state("loud") != surge.Storm || state("quiet") != surge.Calm {
+	if state("loud") != retrystorm.Storm || state("quiet") != retrystorm.Calm {
 		t.Errorf("in a storm of one tenant: %v, the other %v", state("loud"), state("quiet"))
 	}
 	for range 1000 {
 		now += 10
-		monitor.requestEnded(arrive("loud", fmt.Sprint("k", n), "clickhouse", false), account.Served, true, now)
+		monitor.requestEnded(arrive("loud", fmt.Sprint("k", n), "clickhouse", false), accounting.Served, true, now)
 	}
-	if state("loud") != surge.Calm {
+	if state("loud") != retrystorm.Calm {
 		t.Errorf("after the storm: %v", state("loud"))
 	}
 	for i := range 300 {
 		now += 10
-		monitor.requestEnded(arrive("loud", "", "postgres", i%2 == 0), account.Refused, false, now)
+		monitor.requestEnded(arrive("loud", "", "postgres", i%2 == 0), accounting.Refused, false, now)
 	}
-	if state("loud") != surge.Storm {
+	if state("loud") != retrystorm.Storm {
 		t.Errorf("with marked repeats: %v", state("loud"))
 	}
 }
--- a/internal/board/board.go
+++ b/internal/discovery/watcher.go
@@ -1,6 +1,6 @@
-// Package board is the client of the discovery service, which sends numbered changes of the list of worker groups, one per
+// Package discovery is the client of the discovery service, which sends numbered changes of the list of worker groups, one per
 // line.
-package board
+package discovery
 
 import (
 	"bytes"
@@ -14,8 +14,8 @@
 	"thymeway/choice"
 	"thymeway/internal/coordinator"
 	"thymeway/internal/deadline"
-	"thymeway/internal/link"
 	"thymeway/internal/starttime"
+	"thymeway/internal/transport"
 )
 
 // Timeouts and limits.
@@ -91,7 +91,7 @@
 
 // Watcher follows the engine list of the discovery service for as long as the program runs.
 type Watcher struct {
-	Dialer         link.Dialer
+	Dialer         transport.Dialer
 	Deadlines      *deadline.Queue
 	Now            func() float64
 	Listener       Listener
@@ -109,7 +109,7 @@
 // connection is one connection to the discovery service.
 type connection struct {
 	watcher *Watcher
-	conn    link.Conn
+	conn    transport.Conn
 	buffer  []byte // received, not handled yet
 }
 
@@ -193,14 +193,14 @@
 func (w *Watcher) Start() {
 	c := &connection{watcher: w}
 	w.current = c
-	w.timer.Do = func() { c.disconnect("timeout: no connection or no line received", link.NoAnswer) }
+	w.timer.Do = func() { c.disconnect("timeout: no connection or no line received", transport.NoAnswer) }
 	w.Deadlines.Set(&w.timer, w.Now()+w.ConnectTimeout)
 	w.Dialer.Dial(w.Addr, c)
 }
 
 // disconnect closes the connection and schedules a new one. Danger: a coordinator is expected to act on every published
 // change, connected or not, so the delay before reconnecting stays short.
-func (c *connection) disconnect(why string, reason link.EndReason) {
+func (c *connection) disconnect(why string, reason transport.EndReason) {
 	if c.watcher.current != c {
 		return
 	}
@@ -215,7 +215,7 @@
 }
 
 // Opened requests all events after the current revision.
-func (c *connection) Opened(conn link.Conn) {
+func (c *connection) Opened(conn transport.Conn) {
 	c.conn = conn
 	if c.watcher.current != c { // another connection has replaced this one
 		conn.Close()
@@ -241,13 +241,13 @@
 		consumed += i + 1
 		c.watcher.Deadlines.Set(&c.watcher.timer, c.watcher.Now()+silenceTimeout)
 		if err := c.handleLine(line); err != nil {
-			c.disconnect(err.Error(), link.Malformed)
+			c.disconnect(err.Error(), transport.Malformed)
 			return
 		}
 	}
 	c.buffer = append(c.buffer[:0], c.buffer[consumed:]...)
 	if len(c.buffer) > maxLineBytes {
-		c.disconnect("line too long", link.Malformed)
+		c.disconnect("line too long", transport.Malformed)
 	}
 }
 
@@ -275,4 +275,4 @@
 }
 
 // Closed handles a connection that the other side closed, that broke, or that could not be established.
-func (c *connection) Closed(reason link.EndReason) { c.disconnect("closed", reason) }
+func (c *connection) Closed(reason transport.EndReason) { c.disconnect("closed", reason) }
--- a/internal/net/conn.go
+++ b/internal/eventloop/conn.go
@@ -1,4 +1,4 @@
-package net
+package eventloop
 
 import (
 	"errors"
@@ -6,14 +6,14 @@
 
 	"golang.org/x/sys/unix"
 
-	"thymeway/internal/link"
+	"thymeway/internal/transport"
 )
 
 // conn is an accepted or dialled connection. Its descriptor is closed only between two batches of events: a new connection may
 // get the same descriptor number, and would otherwise receive the remaining events of the old one.
 type conn struct {
 	loop     *Loop
-	handler  link.Handler
+	handler  transport.Handler
 	fd       int
 	pending  []byte // written, but not accepted by the system yet
 	closed   bool   // closed locally or ended; the handler gets at most the Closed call that is scheduled
@@ -181,12 +181,12 @@
 }
 
 // connEndReason maps a read or write error to the reason for the end of an established connection.
-func connEndReason(err error) link.EndReason {
+func connEndReason(err error) transport.EndReason {
 	switch {
 	case errors.Is(err, io.EOF):
-		return link.PeerClosed
+		return transport.PeerClosed
 	case errors.Is(err, unix.ECONNREFUSED):
-		return link.ConnRefused
+		return transport.ConnRefused
 	}
-	return link.ConnReset
+	return transport.ConnReset
 }
--- a/internal/net/dial.go
+++ b/internal/eventloop/dial.go
@@ -1,4 +1,4 @@
-package net
+package eventloop
 
 import (
 	"errors"
@@ -7,7 +7,7 @@
 	"golang.org/x/sys/unix"
 
 	"thymeway/internal/deadline"
-	"thymeway/internal/link"
+	"thymeway/internal/transport"
 )
 
 // Retries of a connection that could not be started because of a transient error, such as a shortage of descriptors.
@@ -19,7 +19,7 @@
 // pendingDial is an outgoing connection that is not established yet.
 type pendingDial struct {
 	loop     *Loop
-	handler  link.Handler
+	handler  transport.Handler
 	addr     netip.AddrPort
 	fd       int
 	tries    int
@@ -27,8 +27,8 @@
 	deadline float64        // by which the connection must be established
 }
 
-// Dial opens a connection to an address of the form IP:PORT; see link.Dialer.
-func (l *Loop) Dial(addr string, h link.Handler) {
+// Dial opens a connection to an address of the form IP:PORT; see transport.Dialer.
+func (l *Loop) Dial(addr string, h transport.Handler) {
 	addrPort, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		l.deferCall(func() { h.Closed(dialEndReason(err)) })
@@ -43,7 +43,7 @@
 	d.tries++
 	err := d.connect()
 	if err == nil {
-		d.timer.Do = func() { d.fail(link.Unreachable) }
+		d.timer.Do = func() { d.fail(transport.Unreachable) }
 		d.loop.Deadlines.Set(&d.timer, d.deadline)
 		return
 	}
@@ -110,7 +110,7 @@
 }
 
 // fail ends the attempt to connect. The handler's Closed is called in the next turn.
-func (d *pendingDial) fail(e link.EndReason) {
+func (d *pendingDial) fail(e transport.EndReason) {
 	d.loop.Deadlines.Cancel(&d.timer)
 	delete(d.loop.pendingDials, d.fd)
 	d.loop.deferCall(func() {
@@ -125,18 +125,18 @@
 }
 
 // dialEndReason maps the error of a connection that was not established to an end reason.
-func dialEndReason(err error) link.EndReason {
+func dialEndReason(err error) transport.EndReason {
 	switch {
 	case errors.Is(err, unix.ECONNREFUSED):
-		return link.ConnRefused
+		return transport.ConnRefused
 	case isResourceShortage(err):
-		return link.NoDescriptor
+		return transport.NoDescriptor
 	// Danger: a connection that was established and reset at once shows nothing about the process behind it. Reported as
 	// Unreachable, it would count as a failure to connect.
 	case errors.Is(err, unix.ECONNRESET), errors.Is(err, unix.EPIPE), errors.Is(err, unix.ENOTCONN):
-		return link.ConnReset
+		return transport.ConnReset
 	}
-	return link.Unreachable
+	return transport.Unreachable
 }
 
 // sockaddr converts an address to the form of the system calls, and returns its family.
--- a/internal/net/faults_test.go
+++ b/internal/eventloop/faults_test.go
@@ -1,4 +1,4 @@
-package net
+package eventloop
 
 import (
 	"bytes"
@@ -11,7 +11,7 @@
 
 	"thymeway/internal/clock"
 	"thymeway/internal/deadline"
-	"thymeway/internal/link"
+	"thymeway/internal/transport"
 )
 
 // flakySyscalls returns system calls of which a random share fails with temporary errors, and which read and write only parts.
@@ -77,13 +77,13 @@
 	done     chan string
 }
 
-func (b *bulkHandler) Opened(c link.Conn) { c.Write(b.text) }
+func (b *bulkHandler) Opened(c transport.Conn) { c.Write(b.text) }
 func (b *bulkHandler) Received(p []byte) {
 	if b.received.Write(p); b.received.Len() == len(b.text) {
 		b.done <- fmt.Sprint(bytes.Equal(b.received.Bytes(), b.text))
 	}
 }
-func (b *bulkHandler) Closed(e link.EndReason) { b.done <- e.String() }
+func (b *bulkHandler) Closed(e transport.EndReason) { b.done <- e.String() }
 
 // Guards against temporary errors ending more than they should: EINTR on a read or write used to end the connection, and a failed
 // accept the loop.
@@ -93,7 +93,7 @@
 		addr := freeAddr(t)
 		l := &Loop{Deadlines: deadline.New(), Now: clock.New().Now, ConnectTimeout: 20000,
 			syscalls: flakySyscalls(rand.New(rand.NewSource(seed)), 0.4),
-			Accept:   func(int) link.Handler { return &echoHandler{} }, Turn: func() {}}
+			Accept:   func(int) transport.Handler { return &echoHandler{} }, Turn: func() {}}
 		done := make(chan string, connections)
 		l.OnStart = func() {
 			for i := range connections {
@@ -139,7 +139,7 @@
 		go func() { ended <- l.Run() }()
 		select {
 		case got := <-p.result:
-			if got != link.NoDescriptor.String() {
+			if got != transport.NoDescriptor.String() {
 				t.Errorf("%v: reported as %s", fault, got)
 			}
 		case <-time.After(30 * time.Second):
--- a/internal/net/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,7 +1,7 @@
-// Package net runs all connections on one event loop based on epoll: those of clients, to worker groups and to the discovery
-// service. All state of the program is accessed only from the goroutine of the loop. System calls that fail temporarily end
-// neither the loop nor a connection.
-package net
+// Package eventloop runs all connections on one event loop based on epoll: those of clients, to worker groups and to the
+// discovery service. All state of the program is accessed only from the goroutine of the loop. System calls that fail
+// temporarily end neither the loop nor a connection.
+package eventloop
 
 import (
 	"fmt"
@@ -11,7 +11,7 @@
 	"golang.org/x/sys/unix"
 
 	"thymeway/internal/deadline"
-	"thymeway/internal/link"
+	"thymeway/internal/transport"
 )
 
 const (
@@ -22,11 +22,11 @@
 // Loop is the event loop. Each batch of events, due deadline and request for a turn is followed by one turn.
 type Loop struct {
 	Deadlines      *deadline.Queue
-	Now            func() float64                  // ms, on the clock of Deadlines
-	Accept         func(listener int) link.Handler // makes the handler of a connection; listener: index of its address in Run
-	Turn           func()                          // runs in each turn, after the due deadlines
-	OnStart        func()                          // runs once on the loop, before the first event
-	FreeDescriptor func()                          // called to free a descriptor when the system has none left; may be nil
+	Now            func() float64                       // ms, on the clock of Deadlines
+	Accept         func(listener int) transport.Handler // makes the handler of a connection; listener: index of its address in Run
+	Turn           func()                               // runs in each turn, after the due deadlines
+	OnStart        func()                               // runs once on the loop, before the first event
+	FreeDescriptor func()                               // called to free a descriptor when the system has none left; may be nil
 	// ConnectTimeout is the time in ms within which a dialled connection has to be established.
 	ConnectTimeout float64
 
--- a/internal/net/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -1,7 +1,7 @@
-package net
+package eventloop
 
 import (
-	stdnet "net"
+	"net"
 	"testing"
 	"time"
 
@@ -9,35 +9,35 @@
 
 	"thymeway/internal/clock"
 	"thymeway/internal/deadline"
-	"thymeway/internal/link"
+	"thymeway/internal/transport"
 )
 
 // echoHandler is the accepting side: it sends back what it receives.
-type echoHandler struct{ conn link.Conn }
+type echoHandler struct{ conn transport.Conn }
 
-func (e *echoHandler) Opened(c link.Conn)    { e.conn = c }
-func (e *echoHandler) Received(b []byte)     { e.conn.Write(b) }
-func (e *echoHandler) Closed(link.EndReason) {}
+func (e *echoHandler) Opened(c transport.Conn)    { e.conn = c }
+func (e *echoHandler) Received(b []byte)          { e.conn.Write(b) }
+func (e *echoHandler) Closed(transport.EndReason) {}
 
 // helloHandler is the dialling side: it sends a text and reports its echo, or the reason for the end.
 type helloHandler struct {
-	conn   link.Conn
+	conn   transport.Conn
 	result chan string
 	text   string
 }
 
-func (p *helloHandler) Opened(c link.Conn) { p.conn = c; c.Write([]byte("hello")) }
+func (p *helloHandler) Opened(c transport.Conn) { p.conn = c; c.Write([]byte("hello")) }
 func (p *helloHandler) Received(b []byte) {
 	if p.text += string(b); len(p.text) == 5 {
 		p.conn.Close()
 		p.result <- p.text
 	}
 }
-func (p *helloHandler) Closed(e link.EndReason) { p.result <- e.String() }
+func (p *helloHandler) Closed(e transport.EndReason) { p.result <- e.String() }
 
 // freeAddr returns an address whose port was free a moment ago.
 func freeAddr(t *testing.T) string {
-	l, err := stdnet.Listen("tcp", "127.0.0.1:0")
+	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,7 +50,7 @@
 	addr, refused := freeAddr(t), freeAddr(t)
 	up, no := &helloHandler{result: make(chan string, 2)}, &helloHandler{result: make(chan string, 2)}
 	l := &Loop{Deadlines: deadline.New(), Now: clock.New().Now, ConnectTimeout: 5000,
-		Accept: func(int) link.Handler { return &echoHandler{} }, Turn: func() {}}
+		Accept: func(int) transport.Handler { return &echoHandler{} }, Turn: func() {}}
 	l.OnStart = func() {
 		l.Dial(refused, no)
 		l.Dial(addr, up)
--- a/internal/net/syscalls.go
+++ b/internal/eventloop/syscalls.go
@@ -1,4 +1,4 @@
-package net
+package eventloop
 
 import (
 	"errors"
--- a/internal/tally/tally.go
+++ b/internal/faultlog/faultlog.go
@@ -1,5 +1,5 @@
-// Package tally logs faults at a limited rate, so that a flood of faults does not flood the log.
-package tally
+// Package faultlog logs faults at a limited rate, so that a flood of faults does not flood the log.
+package faultlog
 
 import "log/slog"
 
--- a/internal/tally/tally_test.go
+++ b/internal/faultlog/faultlog_test.go
@@ -1,4 +1,4 @@
-package tally
+package faultlog
 
 import (
 	"bytes"
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -11,23 +11,23 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
-	"thymeway/internal/account"
+	"thymeway/internal/accounting"
 	"thymeway/internal/clock"
+	"thymeway/internal/retrystorm"
 	"thymeway/internal/shape"
-	"thymeway/internal/surge"
 )
 
 // Snapshot is a copy of the coordinator's counters and gauges at one moment.
 type Snapshot struct {
-	Accounts          []account.Row
+	Accounts          []accounting.Row
 	Shapes            shape.Stats
-	Unproven          map[string]uint64      // requests whose statement is not proven safe to repeat, by reason
-	Unanswered        int                    // requests owed an answer
-	InFlight          int                    // attempts that may be running on an engine
-	ClientConnections int                    // open client connections
-	StormStates       map[string]surge.State // by tenant; "" stands for all requests together
-	RetryReasons      []account.ReasonRow    // attempts after the first, by how the previous one ended
-	UnservedReasons   []account.ReasonRow    // requests refused or failed, by reason
+	Unproven          map[string]uint64           // requests whose statement is not proven safe to repeat, by reason
+	Unanswered        int                         // requests owed an answer
+	InFlight          int                         // attempts that may be running on an engine
+	ClientConnections int                         // open client connections
+	StormStates       map[string]retrystorm.State // by tenant; "" stands for all requests together
+	RetryReasons      []accounting.ReasonRow      // attempts after the first, by how the previous one ended
+	UnservedReasons   []accounting.ReasonRow      // requests refused or failed, by reason
 	Clock             clock.State
 }
 
@@ -108,7 +108,7 @@
 		count(valueRequested, r.ValueRequested, labels...)
 		count(valueServed, r.ValueServed, labels...)
 		cumulative, sum := map[float64]uint64{}, uint64(0)
-		for i, b := range account.LatencyBounds {
+		for i, b := range accounting.LatencyBounds {
 			sum += r.LatencyBuckets[i]
 			cumulative[b/1000] = sum
 		}
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -9,7 +9,7 @@
 	"strings"
 	"testing"
 
-	"thymeway/internal/account"
+	"thymeway/internal/accounting"
 	"thymeway/internal/clock"
 )
 
@@ -36,15 +36,15 @@
 // A scrape reports the counters by tenant, class and protocol. If no snapshot can be taken, it succeeds and reports
 // scrape_failed.
 func TestScrape(t *testing.T) {
-	var counters account.Counters
-	counts := counters.CountsFor(account.Key{Tenant: "acme", Class: "lookup", Protocol: "clickhouse"})
+	var counters accounting.Counters
+	counts := counters.CountsFor(accounting.Key{Tenant: "acme", Class: "lookup", Protocol: "clickhouse"})
 	counts.Accepted, counts.ValueRequested, counts.Attempts = 3, 3, 4
-	counts.RecordEnd(account.Served, 30, 1000, 1, 0.5)
-	counts.RecordEnd(account.Refused, 0, 0, 1, 0)
+	counts.RecordEnd(accounting.Served, 30, 1000, 1, 0.5)
+	counts.RecordEnd(accounting.Refused, 0, 0, 1, 0)
 	text := scrape(t, func(context.Context) (Snapshot, error) {
 		return Snapshot{Accounts: counters.Rows(), Unproven: map[string]uint64{"malformed": 2}, Unanswered: 1,
-			RetryReasons:    []account.ReasonRow{{ReasonKey: account.ReasonKey{Class: "load", Reason: "silent"}, Count: 2}},
-			UnservedReasons: []account.ReasonRow{{ReasonKey: account.ReasonKey{Class: "lookup", Reason: "capacity"}, Count: 5}},
+			RetryReasons:    []accounting.ReasonRow{{ReasonKey: accounting.ReasonKey{Class: "load", Reason: "silent"}, Count: 2}},
+			UnservedReasons: []accounting.ReasonRow{{ReasonKey: accounting.ReasonKey{Class: "lookup", Reason: "capacity"}, Count: 5}},
 			Clock:           clock.State{Steps: 1, Offset: -3.6e6}}, nil
 	})
 	for _, want := range []string{`thymeway_requests_total{class="lookup",protocol="clickhouse",tenant="acme"} 3`,
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -5,14 +5,14 @@
 	"fmt"
 	"testing"
 
-	"thymeway/internal/conftest"
+	"thymeway/internal/configtest"
 	"thymeway/internal/deadline"
-	"thymeway/internal/link"
+	"thymeway/internal/transport"
 )
 
 // fakeConn is a connection that keeps the last data written to it.
 type fakeConn struct {
-	handler link.Handler
+	handler transport.Handler
 	written []byte
 }
 
@@ -26,7 +26,7 @@
 // fakeDialer establishes each connection at once.
 type fakeDialer struct{ conns []*fakeConn }
 
-func (d *fakeDialer) Dial(addr string, h link.Handler) {
+func (d *fakeDialer) Dial(addr string, h transport.Handler) {
 	conn := &fakeConn{handler: h}
 	d.conns = append(d.conns, conn)
 	h.Opened(conn)
@@ -34,7 +34,7 @@
 
 // BenchmarkRequest measures one PostgreSQL query from its arrival to its answer, which a worker group gives after 20 ms.
 func BenchmarkRequest(b *testing.B) {
-	c := conftest.Example(b)
+	c := configtest.Example(b)
 	now := 1.7e12
 	q := deadline.New()
 	dialer := &fakeDialer{}
--- a/internal/node/seats_test.go
+++ b/internal/node/connlimit_test.go
@@ -3,14 +3,14 @@
 import (
 	"testing"
 
-	"thymeway/internal/conftest"
+	"thymeway/internal/configtest"
 	"thymeway/internal/deadline"
 )
 
 // Clients of both protocols share one connection limit. At the limit, a new connection of either protocol evicts the one that has
 // been idle longest, whatever its protocol, and never one with an open request.
 func TestProtocolsShareConnectionLimit(t *testing.T) {
-	c := conftest.Example(t)
+	c := configtest.Example(t)
 	c.Local.ClickHouse.Listen = "127.0.0.1:8123"
 	runner := &scriptRunner{t: t, now: startTime, deadlines: deadline.New(), clients: map[string]*scriptedConn{},
 		cancelKeys: map[string][]byte{}}
--- a/internal/node/play_test.go
+++ b/internal/node/exchanges_test.go
@@ -14,7 +14,7 @@
 
 	"thymeway/internal/config"
 	"thymeway/internal/deadline"
-	"thymeway/internal/link"
+	"thymeway/internal/transport"
 )
 
 var update = flag.Bool("update", false, "overwrite the recorded exchanges with the program's present output")
@@ -37,7 +37,7 @@
 type scriptedConn struct {
 	runner    *scriptRunner
 	name      string
-	handler   link.Handler
+	handler   transport.Handler
 	isClient  bool
 	http      bool // a client of the ClickHouse HTTP interface
 	closed    bool
@@ -132,7 +132,7 @@
 }
 
 // Dial records a connection that the program opens. The script's "up" or "end" decides its fate.
-func (r *scriptRunner) Dial(addr string, h link.Handler) {
+func (r *scriptRunner) Dial(addr string, h transport.Handler) {
 	conn := &scriptedConn{runner: r, name: fmt.Sprintf("w%d", len(r.engineConns)+1), handler: h}
 	r.engineConns = append(r.engineConns, conn)
 	r.print("%s dial %s", conn.name, addr)
@@ -276,7 +276,7 @@
 	case "up":
 		conn.handler.Opened(conn)
 	case "end":
-		for e := link.Served; e <= link.ClosedLocally; e++ {
+		for e := transport.Served; e <= transport.ClosedLocally; e++ {
 			if e.String() == args && !conn.closed {
 				conn.closed = true
 				conn.handler.Closed(e)
--- a/internal/node/mixed_test.go
+++ b/internal/node/mixed_protocols_test.go
@@ -11,10 +11,10 @@
 	"strings"
 	"testing"
 
-	"thymeway/internal/account"
-	"thymeway/internal/conftest"
+	"thymeway/internal/accounting"
+	"thymeway/internal/configtest"
 	"thymeway/internal/deadline"
-	"thymeway/internal/link"
+	"thymeway/internal/transport"
 )
 
 // simulation runs a coordinator in virtual time, with clients of both protocols and worker groups that need time for each query.
@@ -83,9 +83,9 @@
 }
 
 // Dial connects to the worker group at 127.0.0.1:4101; other addresses refuse connections.
-func (s *simulation) Dial(addr string, h link.Handler) {
+func (s *simulation) Dial(addr string, h transport.Handler) {
 	if addr != "127.0.0.1:4101" {
-		s.schedule(1, func() { h.Closed(link.ConnRefused) })
+		s.schedule(1, func() { h.Closed(transport.ConnRefused) })
 		return
 	}
 	conn := &workerGroupConn{sim: s, handler: h}
@@ -95,7 +95,7 @@
 // workerGroupConn is a connection to the simulated worker group, with one call at a time.
 type workerGroupConn struct {
 	sim     *simulation
-	handler link.Handler
+	handler transport.Handler
 	closed  bool
 }
 
@@ -165,7 +165,7 @@
 // simulatedClient is a client's connection over either protocol.
 type simulatedClient struct {
 	sim      *simulation
-	handler  link.Handler
+	handler  transport.Handler
 	received bytes.Buffer
 	onAnswer func(rows string, ok bool) // called with the next answer, once
 	http     bool                       // uses the ClickHouse HTTP interface instead of PostgreSQL
@@ -240,8 +240,8 @@
 // runRequests sends 120 requests that depend on the seed only, each over the protocol that useHTTP selects. It returns the
 // answers, the order of runs by order key, and the counts by tenant and class, summed over the protocols.
 func runRequests(t *testing.T, seed int64, useHTTP func(i int) bool) (answers []string, runOrder map[string][]string,
-	counts map[string]account.Counts) {
-	c := conftest.Example(t)
+	counts map[string]accounting.Counts) {
+	c := configtest.Example(t)
 	c.Local.ClickHouse.Listen = "127.0.0.1:8123"
 	sim := &simulation{t: t, now: startTime, deadlines: deadline.New(), rand: rand.New(rand.NewSource(seed)),
 		runsByID: map[string]*queryRun{}}
@@ -315,7 +315,7 @@
 	if waits < 3 {
 		t.Errorf("only %d loads had to wait for their order key", waits)
 	}
-	counts = map[string]account.Counts{}
+	counts = map[string]accounting.Counts{}
 	for _, r := range sim.node.Coordinator.Accounts.Rows() {
 		total := counts[r.Tenant+" "+r.Class]
 		total.Add(&r.Counts)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -8,22 +8,22 @@
 	"math/rand"
 	"slices"
 
-	"thymeway/internal/board"
 	"thymeway/internal/chengine"
 	"thymeway/internal/chhttp"
 	"thymeway/internal/clock"
 	"thymeway/internal/config"
+	"thymeway/internal/connlimit"
 	"thymeway/internal/coordinator"
 	"thymeway/internal/deadline"
-	"thymeway/internal/link"
+	"thymeway/internal/discovery"
+	"thymeway/internal/faultlog"
 	"thymeway/internal/metrics"
 	"thymeway/internal/pg"
-	"thymeway/internal/rest"
-	"thymeway/internal/seats"
+	"thymeway/internal/retrystorm"
 	"thymeway/internal/shape"
 	"thymeway/internal/snapshot"
-	"thymeway/internal/surge"
-	"thymeway/internal/tally"
+	"thymeway/internal/transport"
+	"thymeway/internal/workergroup"
 )
 
 // Limits, times (in milliseconds) and shares of resources.
@@ -55,12 +55,12 @@
 	Coordinator       *coordinator.Coordinator
 	Postgres          *pg.Server
 	ClickHouse        *chhttp.Server // nil: ClickHouse clients are not served
-	Discovery         *board.Watcher
+	Discovery         *discovery.Watcher
 	Shapes            *shape.Catalog
 	WallClock         *clock.Monitor // nil: the wall clock is not monitored
-	clientSlots       *seats.Limiter
+	clientSlots       *connlimit.Limiter
 	snapshots         *snapshot.AsyncWriter // nil: shapes are not stored
-	workerGroups      *rest.Fleet
+	workerGroups      *workergroup.Fleet
 	clickHouseEngines *chengine.Fleet // nil: no kind of engine uses ClickHouse's interface
 	deadlines         *deadline.Queue
 	now               func() float64
@@ -70,9 +70,9 @@
 
 // New assembles a coordinator. wake has to cause an event-loop turn soon, which runs the due deadlines and calls Turn. If New
 // returns an error, the events that the configuration holds under "known" are invalid.
-func New(cfg config.Config, dialer link.Dialer, deadlines *deadline.Queue, now func() float64, wake func()) (*Node, error) {
-	faults := &tally.FaultLog{Now: now}
-	workerGroups := &rest.Fleet{Dialer: dialer, Deadlines: deadlines, Now: now, Faults: faults,
+func New(cfg config.Config, dialer transport.Dialer, deadlines *deadline.Queue, now func() float64, wake func()) (*Node, error) {
+	faults := &faultlog.FaultLog{Now: now}
+	workerGroups := &workergroup.Fleet{Dialer: dialer, Deadlines: deadlines, Now: now, Faults: faults,
 		ConnectTimeout: cfg.ConnectTimeout, ConnIdleTimeout: cfg.ConnIdleTimeout * connIdleShare,
 		MaxConns: int(float64(cfg.Sockets) * engineDescriptorShare)}
 	shapes := shape.NewCatalog(shape.Options{MaxBytes: cfg.ShapeBytes(), HashSeed: cfg.Seed})
@@ -103,14 +103,14 @@
 		clickHouse.Watcher, engineConns = coord, 2*engineConns
 	}
 	maxClients := max(cfg.Sockets-engineConns-reservedDescriptors, 1)
-	clientSlots := &seats.Limiter{MaxConnections: maxClients, Faults: faults}
+	clientSlots := &connlimit.Limiter{MaxConnections: maxClients, Faults: faults}
 	n := &Node{Coordinator: coord, Shapes: shapes, clientSlots: clientSlots, clickHouseEngines: clickHouse,
 		workerGroups: workerGroups, deadlines: deadlines, now: now, config: cfg,
 		Postgres: &pg.Server{Coordinator: coord, Deadlines: deadlines, Faults: faults, Now: now, AnswerMargin: answerMargin,
 			ConnLimiter:   clientSlots,
 			MaxInputBytes: min(max(int(cfg.MemoryMB*(1<<20)*inputMemoryShare)/maxClients, minInputBytes), maxInputBytes),
 			Random:        rand.New(rand.NewSource(int64(cfg.Seed) + 1))},
-		Discovery: &board.Watcher{Dialer: dialer, Deadlines: deadlines, Now: now, Listener: coord, Addr: cfg.DiscoveryAddr,
+		Discovery: &discovery.Watcher{Dialer: dialer, Deadlines: deadlines, Now: now, Listener: coord, Addr: cfg.DiscoveryAddr,
 			ConnectTimeout: 2 * cfg.ConnectTimeout, WarmUpTime: cfg.Scheduler.WarmUpTime}}
 	if cfg.Local.ClickHouse.Listen != "" {
 		n.ClickHouse = &chhttp.Server{Coordinator: coord, Deadlines: deadlines, Faults: faults, Now: now, Margin: answerMargin,
@@ -178,7 +178,7 @@
 	if n.WallClock != nil {
 		s.Clock = n.WallClock.State()
 	}
-	s.StormStates = map[string]surge.State{"": n.Coordinator.StormState("")}
+	s.StormStates = map[string]retrystorm.State{"": n.Coordinator.StormState("")}
 	for _, tenant := range n.config.Scheduler.Tenants {
 		s.StormStates[tenant.Name] = n.Coordinator.StormState(tenant.Name)
 	}
@@ -252,7 +252,7 @@
 }
 
 // Accept returns the handler of a new client connection. listener is the index in ListenAddrs of the address it arrived at.
-func (n *Node) Accept(listener int) link.Handler {
+func (n *Node) Accept(listener int) transport.Handler {
 	if listener == 1 {
 		return n.ClickHouse.Accept()
 	}
--- a/internal/node/order_test.go
+++ b/internal/node/order_key_test.go
@@ -10,10 +10,10 @@
 	"testing"
 
 	"thymeway/choice"
-	"thymeway/internal/conftest"
+	"thymeway/internal/configtest"
 	"thymeway/internal/coordinator"
 	"thymeway/internal/deadline"
-	"thymeway/internal/link"
+	"thymeway/internal/transport"
 )
 
 // faultyNetwork is a network with worker groups that become unreachable, reset connections, drain, crash, hang and fall silent
@@ -62,7 +62,7 @@
 // unreachable only once that period has ended.
 type connStub struct {
 	engine                          *engineStub
-	handler                         link.Handler
+	handler                         transport.Handler
 	coordinatorClosed, engineClosed bool
 	lastToEngine, lastToCoordinator float64 // time of the latest delivery in each direction
 	aborted, finSent                bool
@@ -84,16 +84,16 @@
 }
 
 // Dial connects to a worker group. An unreachable one times out; one that drains or is down refuses the connection.
-func (n *faultyNetwork) Dial(addr string, h link.Handler) {
+func (n *faultyNetwork) Dial(addr string, h transport.Handler) {
 	for _, e := range n.engines {
 		if e.addr != addr {
 			continue
 		}
 		switch {
 		case n.now >= e.cutFrom && n.now < e.cutUntil:
-			n.schedule(250, func() { h.Closed(link.Unreachable) })
+			n.schedule(250, func() { h.Closed(transport.Unreachable) })
 		case e.draining || e.down:
-			n.schedule(1, func() { h.Closed(link.ConnRefused) })
+			n.schedule(1, func() { h.Closed(transport.ConnRefused) })
 		default:
 			c := &connStub{engine: e, handler: h}
 			e.conns = append(e.conns, c)
@@ -101,7 +101,7 @@
 		}
 		return
 	}
-	n.schedule(1, func() { h.Closed(link.ConnRefused) })
+	n.schedule(1, func() { h.Closed(transport.ConnRefused) })
 }
 
 func (c *connStub) Pending() int { return 0 }
@@ -119,18 +119,18 @@
 func (c *connStub) sendFin() {
 	if !c.finSent {
 		c.finSent = true
-		c.engine.network.schedule(c.deliveryDelay(&c.lastToEngine), func() { c.closeByEngine(link.PeerClosed) })
+		c.engine.network.schedule(c.deliveryDelay(&c.lastToEngine), func() { c.closeByEngine(transport.PeerClosed) })
 	}
 }
 
 // Abort closes the coordinator's side and discards data that is not delivered yet.
 func (c *connStub) Abort() {
 	c.coordinatorClosed, c.aborted = true, true
-	c.engine.network.schedule(c.deliveryDelay(&c.lastToEngine), func() { c.closeByEngine(link.ConnReset) })
+	c.engine.network.schedule(c.deliveryDelay(&c.lastToEngine), func() { c.closeByEngine(transport.ConnReset) })
 }
 
 // closeByEngine closes the worker group's side: it reads and answers nothing more.
-func (c *connStub) closeByEngine(reason link.EndReason) {
+func (c *connStub) closeByEngine(reason transport.EndReason) {
 	if c.engineClosed {
 		return
 	}
@@ -221,7 +221,7 @@
 	}
 	roll := network.rand.Float64()
 	if roll < network.faultRate { // reset before the call is processed
-		c.closeByEngine(link.ConnReset)
+		c.closeByEngine(transport.ConnReset)
 		return
 	}
 	line := strings.Fields(call)
@@ -247,7 +247,7 @@
 		e.sendAnswer(c, "HTTP/1.1 204 -\r\n\r\n", nil)
 	}
 	if roll < 2*network.faultRate {
-		c.closeByEngine(link.ConnReset)
+		c.closeByEngine(transport.ConnReset)
 	}
 }
 
@@ -410,7 +410,7 @@
 		network.schedule(3000+network.rand.Float64()*3000, func() { e.draining = false; e.announce(choice.Healthy) })
 	case 3: // its process dies, and a new one starts
 		for _, c := range slices.Clone(e.conns) {
-			c.closeByEngine(link.ConnReset)
+			c.closeByEngine(transport.ConnReset)
 		}
 		for _, id := range slices.Sorted(maps.Keys(e.queries)) {
 			e.endQuery(id, unknownQueryAnswer, true)
@@ -423,14 +423,14 @@
 		}
 		if network.rand.Intn(2) == 0 { // its connections are reset at the start
 			for _, c := range slices.Clone(e.conns) {
-				c.closeByEngine(link.ConnReset)
+				c.closeByEngine(transport.ConnReset)
 			}
 		}
 		e.cutFrom, e.cutUntil = network.now, network.now+200+network.rand.Float64()*12000
 		e.hungUntil = e.cutUntil
 	case 4: // all its connections are reset, while its queries run on
 		for _, c := range slices.Clone(e.conns) {
-			c.closeByEngine(link.ConnReset)
+			c.closeByEngine(transport.ConnReset)
 		}
 	}
 }
@@ -445,7 +445,7 @@
 // request, the time in ms from its limit to its answer, negative if the answer came before the limit; -1 also stands for a
 // client that disconnected, and 0 for a missing answer. served is the number of requests that succeeded.
 func runWithFaults(t *testing.T, seed int64) (network *faultyNetwork, lateness []float64, served int) {
-	c := conftest.Example(t)
+	c := configtest.Example(t)
 	sim := &simulation{t: t, now: startTime, deadlines: deadline.New(), rand: rand.New(rand.NewSource(seed))}
 	network = &faultyNetwork{simulation: sim, arrivalOrder: map[string]int{}, orderKeys: map[string]string{},
 		latestSent: map[string]int{}, lastCancelled: map[string]cancellation{}}
@@ -511,7 +511,7 @@
 				sim.schedule(sim.rand.Float64()*2000, func() {
 					if lateness[i] == 0 {
 						lateness[i] = -1
-						c.handler.Closed(link.ConnReset)
+						c.handler.Closed(transport.ConnReset)
 					}
 				})
 			}
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -6,7 +6,7 @@
 	"testing"
 
 	"thymeway/internal/config"
-	"thymeway/internal/conftest"
+	"thymeway/internal/configtest"
 	"thymeway/internal/deadline"
 )
 
@@ -14,7 +14,7 @@
 // missed, because the request to reload is made only once.
 func TestReloadIsRepeatedAfterTransientError(t *testing.T) {
 	for _, fault := range []error{syscall.EMFILE, syscall.ENFILE, syscall.EIO} {
-		c := conftest.Example(t)
+		c := configtest.Example(t)
 		runner := &scriptRunner{t: t, now: startTime, deadlines: deadline.New(), clients: map[string]*scriptedConn{},
 			cancelKeys: map[string][]byte{}}
 		var err error
--- a/internal/node/keep_test.go
+++ b/internal/node/shape_persistence_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"thymeway/internal/conftest"
+	"thymeway/internal/configtest"
 	"thymeway/internal/deadline"
 	"thymeway/internal/logs"
 	"thymeway/internal/shape"
@@ -18,7 +18,7 @@
 // Shapes survive a restart if a snapshot file is configured. If the file is truncated, foreign, invalid or of a newer version,
 // the reason is logged, and the program starts without shapes and replaces the file.
 func TestShapesSurviveRestart(t *testing.T) {
-	c := conftest.Example(t)
+	c := configtest.Example(t)
 	c.Local.Shapes.File, c.Local.Shapes.SaveInterval = filepath.Join(t.TempDir(), "shapes"), 1000
 	var logged bytes.Buffer
 	previousLogger := slog.Default()
--- a/internal/pg/session.go
+++ b/internal/pg/session.go
@@ -8,13 +8,13 @@
 	"math/rand"
 	"strings"
 
+	"thymeway/internal/connlimit"
 	"thymeway/internal/coordinator"
 	"thymeway/internal/deadline"
-	"thymeway/internal/fields"
-	"thymeway/internal/link"
+	"thymeway/internal/faultlog"
+	"thymeway/internal/queryfields"
 	"thymeway/internal/result"
-	"thymeway/internal/seats"
-	"thymeway/internal/tally"
+	"thymeway/internal/transport"
 )
 
 // SQLSTATE codes. Class 53 and 57P03 tell the client that a retry is harmless, so they are sent only where
@@ -54,10 +54,10 @@
 type Server struct {
 	Coordinator   Coordinator
 	Deadlines     *deadline.Queue
-	Faults        *tally.FaultLog
+	Faults        *faultlog.FaultLog
 	Now           func() float64
 	AnswerMargin  float64 // ms before the client's time limit by which the answer is due, for its way to the client
-	ConnLimiter   *seats.Limiter
+	ConnLimiter   *connlimit.Limiter
 	MaxInputBytes int // largest size of a message, and of the messages that wait for the end of an open query
 	Random        *rand.Rand
 	ShuttingDown  bool                // new queries are rejected
@@ -75,7 +75,7 @@
 // Session is one client's connection.
 type Session struct {
 	server       *Server
-	conn         link.Conn
+	conn         transport.Conn
 	input        []byte
 	started      bool
 	closed       bool
@@ -87,7 +87,7 @@
 	pid          uint32 // process id and secret key of the session, for CancelRequest
 	secret       uint32
 	request      *coordinator.Request // the open query; nil: none
-	slot         *seats.Slot
+	slot         *connlimit.Slot
 	messageTimer deadline.Entry // ends the wait for a complete message
 	resumeTimer  deadline.Entry // ends a pause
 }
@@ -106,8 +106,8 @@
 	return s
 }
 
-// Opened implements link.Handler.
-func (s *Session) Opened(c link.Conn) {
+// Opened implements transport.Handler.
+func (s *Session) Opened(c transport.Conn) {
 	srv := s.server
 	s.conn = c
 	ok := false
@@ -119,13 +119,13 @@
 	s.slot.MarkUnused()
 }
 
-// InputEmpty implements seats.Connection.
+// InputEmpty implements connlimit.Connection.
 func (s *Session) InputEmpty() bool { return s.conn.Idle() }
 
-// Evict implements seats.Connection: it closes the session in favor of a new connection.
+// Evict implements connlimit.Connection: it closes the session in favor of a new connection.
 func (s *Session) Evict() { s.close() }
 
-// Received implements link.Handler. A message may arrive in any number of pieces.
+// Received implements transport.Handler. A message may arrive in any number of pieces.
 func (s *Session) Received(b []byte) {
 	if s.closed {
 		return
@@ -292,7 +292,7 @@
 		s.conn.Write(w.buf)
 		return
 	}
-	r, timeLimit, err := fields.Parse(text)
+	r, timeLimit, err := queryfields.Parse(text)
 	if err == nil {
 		err = s.server.Coordinator.Check(r)
 	}
@@ -372,9 +372,9 @@
 	s.cleanUp()
 }
 
-// Closed implements link.Handler. As in PostgreSQL, a client that closes its sending side counts as gone, since a half-closed
-// connection cannot be told from a closed one.
-func (s *Session) Closed(link.EndReason) {
+// Closed implements transport.Handler. As in PostgreSQL, a client that closes its sending side counts as gone, since a
+// half-closed connection cannot be told from a closed one.
+func (s *Session) Closed(transport.EndReason) {
 	if !s.closed {
 		s.cleanUp()
 	}
--- a/internal/pg/session_test.go
+++ b/internal/pg/session_test.go
@@ -5,9 +5,9 @@
 	"math/rand"
 	"testing"
 
+	"thymeway/internal/connlimit"
 	"thymeway/internal/deadline"
-	"thymeway/internal/seats"
-	"thymeway/internal/tally"
+	"thymeway/internal/faultlog"
 )
 
 // connStub counts the answers to empty queries (EmptyQueryResponse) that a session writes.
@@ -24,7 +24,7 @@
 // which other clients are served.
 func TestMessageFloodTakesSeveralTurns(t *testing.T) {
 	now := func() float64 { return 0 }
-	srv := &Server{Deadlines: deadline.New(), Faults: &tally.FaultLog{Now: now}, Now: now, ConnLimiter: &seats.Limiter{},
+	srv := &Server{Deadlines: deadline.New(), Faults: &faultlog.FaultLog{Now: now}, Now: now, ConnLimiter: &connlimit.Limiter{},
 		MaxInputBytes: 1 << 16, Random: rand.New(rand.NewSource(1))}
 	conn, s := &connStub{}, srv.Accept()
 	s.Opened(conn)
--- a/internal/fields/fields.go
+++ b/internal/queryfields/queryfields.go
@@ -1,6 +1,6 @@
-// Package fields parses the comment before a statement that describes the request: its class, id, time limit, tenant, and
+// Package queryfields parses the comment before a statement that describes the request: its class, id, time limit, tenant, and
 // optional further fields.
-package fields
+package queryfields
 
 import (
 	"fmt"
--- a/internal/surge/pressure.go
+++ b/internal/retrystorm/detector.go
@@ -1,4 +1,4 @@
-package surge
+package retrystorm
 
 import "math"
 
--- a/internal/surge/repeats.go
+++ b/internal/retrystorm/repeat_sketch.go
@@ -1,7 +1,7 @@
-// Package surge detects retry storms. It recognizes repeats of refused requests, and measures the share of repeats and the
+// Package retrystorm detects retry storms. It recognizes repeats of refused requests, and measures the share of repeats and the
 // share of requests that end without a timely result. It does no input or output and reads no clock; times are in ms. Its
 // results are only reported: no decision depends on them.
-package surge
+package retrystorm
 
 // RepeatSketch recognizes unmarked repeats of refused requests: requests with the same key that arrive soon after a refusal.
 // It is a counting sketch of fixed size with two generations that alternate, so that old refusals are dropped together. It
--- a/internal/link/link.go
+++ b/internal/transport/transport.go
@@ -1,6 +1,6 @@
-// Package link defines the interfaces between the protocols and the sockets, so that each protocol can be tested
+// Package transport defines the interfaces between the protocols and the sockets, so that each protocol can be tested
 // without a socket. It also lists all reasons for which a connection or a call on it can end.
-package link
+package transport
 
 import "thymeway/choice"
 
--- a/internal/rest/attempt.go
+++ b/internal/workergroup/attempt.go
@@ -1,4 +1,4 @@
-package rest
+package workergroup
 
 import (
 	"bytes"
@@ -10,9 +10,9 @@
 	"thymeway/choice"
 	"thymeway/internal/coordinator"
 	"thymeway/internal/deadline"
-	"thymeway/internal/link"
 	"thymeway/internal/logs"
 	"thymeway/internal/result"
+	"thymeway/internal/transport"
 )
 
 // attempt is one run of a query on a worker group, from its POST to its end. It may use several connections in turn.
@@ -32,8 +32,8 @@
 	deleteCall     *call   // the DELETE in progress
 	deleteTries    int     // DELETEs that brought no proof of the end
 	cancelled      bool
-	cancelReason   link.EndReason // why the attempt was cancelled
-	endReported    bool           // since the cancellation the worker group has reported that the query has ended
+	cancelReason   transport.EndReason // why the attempt was cancelled
+	endReported    bool                // since the cancellation the worker group has reported that the query has ended
 	finished       bool
 	outcome        coordinator.Outcome
 	waitTimer      deadline.Entry // fires when the wait for the attempt is over
@@ -48,7 +48,7 @@
 func (a *attempt) begin() {
 	a.outcome = coordinator.Outcome{Request: a.ID, Engine: a.Engine, Attempt: a.Number}
 	if a.group == nil || a.group.Addr == "" {
-		a.finish(link.Unreachable)
+		a.finish(transport.Unreachable)
 		return
 	}
 	if a.fleet.attempts == nil {
@@ -61,13 +61,13 @@
 	a.dropTimer.Do = a.finishIfDropped
 	a.waitTimer.Do = func() {
 		if a.postedAt == 0 { // the POST was never written
-			a.finish(link.Unreachable)
+			a.finish(transport.Unreachable)
 			return
 		}
 		// Danger: a query does not end when its time budget does. If its worker group is cut off, or accepts no further
 		// connection for the DELETE, the query runs on: the client is answered now, and the end is reported once proven.
 		a.fleet.Watcher.RequestOverdue(a.ID)
-		a.cancel(link.NoAnswer)
+		a.cancel(transport.NoAnswer)
 	}
 	a.fleet.Deadlines.Set(&a.waitTimer, a.WaitUntil)
 	a.postCall = &call{build: a.buildPost, timeout: pollTimeout, done: a.postDone}
@@ -114,7 +114,7 @@
 }
 
 // postDone handles the end of the POST call. Only a connection that was never established proves that nothing ran.
-func (a *attempt) postDone(r *reply, e link.EndReason) {
+func (a *attempt) postDone(r *reply, e transport.EndReason) {
 	switch {
 	case r != nil:
 		a.processAnswer(a.postCall, r)
@@ -122,11 +122,11 @@
 		logs.Trace("post-broke", a.ID, "engine", a.Engine, "wire", a.postCall.connNumber, "end", e)
 		a.pollAfter(0)
 	case a.tooLateToPost:
-		a.finish(link.Expired)
-	case e == link.ConnRefused || e == link.NoDescriptor:
+		a.finish(transport.Expired)
+	case e == transport.ConnRefused || e == transport.NoDescriptor:
 		a.finish(e)
 	default:
-		a.finish(link.Unreachable)
+		a.finish(transport.Unreachable)
 	}
 }
 
@@ -138,16 +138,16 @@
 		logs.Trace("ask", a.ID, "engine", a.Engine, "fixed", c.writtenAfterPost)
 		return a.buildGet(0)
 	}
-	c.done = func(r *reply, e link.EndReason) {
+	c.done = func(r *reply, e transport.EndReason) {
 		if r == nil {
 			logs.Trace("ask-broke", a.ID, "engine", a.Engine, "wire", c.connNumber, "end", e)
 		}
 		switch {
 		case r != nil:
 			a.processAnswer(c, r)
-		case e == link.ConnRefused && a.group.replaced():
-			a.finish(link.ProcessDied)
-		case e == link.Unreachable || e == link.NoAnswer:
+		case e == transport.ConnRefused && a.group.replaced():
+			a.finish(transport.ProcessDied)
+		case e == transport.Unreachable || e == transport.NoAnswer:
 			a.pollAfter(retryPause)
 		default:
 			a.pollAfter(reconnectPause)
@@ -234,16 +234,16 @@
 		a.outcome.Result = &result.Set{Pages: make([][]byte, r.pageCount)}
 		a.acceptPage(0, r)
 	case r.endsWithoutResult() && r.status == 503:
-		a.finish(link.Full)
+		a.finish(transport.Full)
 	case r.endsWithoutResult() && r.status == 504:
-		a.finish(link.Expired)
+		a.finish(transport.Expired)
 	case r.endsWithoutResult() &&
 		(a.fleet.Now() > a.lastKnownRunning(c)+unpolledTimeout-unpolledSlack || a.query.strayDelete.Scheduled()):
 		// Danger: this may be an error of the query, or the worker group may no longer know the query, because it was dropped
 		// or lost with its process a moment ago. The query is deleted, so that both sides consider it ended from then on.
-		a.cancel(link.QueryLost)
+		a.cancel(transport.QueryLost)
 	case r.endsWithoutResult():
-		a.finish(link.Failed)
+		a.finish(transport.Failed)
 	default:
 		a.pollAfterInvalid("result", r)
 	}
@@ -263,7 +263,7 @@
 	a.fleet.Faults.Add("engine-spoilt", "engine", a.Engine, "what", what, "status", r.status, "bytes", len(r.body))
 	a.group.closeAnswering()
 	if a.invalidAnswers++; a.invalidAnswers > maxInvalidAnswers {
-		a.cancel(link.Malformed)
+		a.cancel(transport.Malformed)
 		return
 	}
 	a.pollAfter(reconnectPause)
@@ -282,16 +282,16 @@
 		a.pollAfterInvalid("size", r)
 		return
 	}
-	a.finish(link.Served)
+	a.finish(transport.Served)
 }
 
 // fetchPage requests a page after the first and tries again after a broken connection or an invalid answer, until there were too
 // many in a row.
 func (a *attempt) fetchPage(page int) {
-	retry := func(e link.EndReason) {
+	retry := func(e transport.EndReason) {
 		if a.invalidAnswers++; a.invalidAnswers > maxInvalidAnswers {
 			logs.Trace("page-given-up", a.ID, "engine", a.Engine, "end", e)
-			a.cancel(link.QueryLost)
+			a.cancel(transport.QueryLost)
 			return
 		}
 		a.currentCall = nil
@@ -300,21 +300,21 @@
 		a.scheduleDropCheck()
 	}
 	a.startKeepAliveCall(&call{build: func() []byte { return a.buildGet(page) }, timeout: callTimeout,
-		done: func(r *reply, e link.EndReason) {
+		done: func(r *reply, e transport.EndReason) {
 			logs.Trace("page", a.ID, "engine", a.Engine, "page", page, "answered", r != nil, "end", e)
 			switch {
-			case e == link.ConnRefused && a.group.replaced():
-				a.finish(link.ProcessDied)
+			case e == transport.ConnRefused && a.group.replaced():
+				a.finish(transport.ProcessDied)
 			case r == nil:
-				retry(link.ConnReset)
+				retry(transport.ConnReset)
 			case r.status == 200 && r.pageNumber == page && validRows(r.body, false):
 				a.acceptPage(page, r)
 			case r.endsWithoutResult(): // the page is lost: the query was not polled for too long, or the process died
-				a.cancel(link.QueryLost)
+				a.cancel(transport.QueryLost)
 			default:
 				a.fleet.Faults.Add("engine-spoilt", "engine", a.Engine, "what", "page", "status", r.status, "bytes", len(r.body))
 				a.group.closeAnswering()
-				retry(link.Malformed)
+				retry(transport.Malformed)
 			}
 		}})
 }
@@ -341,7 +341,7 @@
 // cancel has the query deleted; e is the reason with which the attempt finishes once its end is proven. Danger: a request
 // may have only one attempt in flight, so its next attempt has to wait until then, and so have the next requests of its
 // order key.
-func (a *attempt) cancel(e link.EndReason) {
+func (a *attempt) cancel(e transport.EndReason) {
 	if a.cancelled || a.finished {
 		return
 	}
@@ -351,7 +351,7 @@
 		return
 	}
 	if c := a.currentCall; c != nil && !c.group.removeWaiting(c) && c.keepsAlive != nil {
-		c.done = func(r *reply, _ link.EndReason) { // the call in progress may still report that the query has ended
+		c.done = func(r *reply, _ transport.EndReason) { // the call in progress may still report that the query has ended
 			if r != nil {
 				a.acceptLateAnswer(c, r)
 			}
@@ -379,7 +379,7 @@
 		c.writtenAfterPost = a.postSettled()
 		return buildRequest("DELETE", "/obj/"+a.ID, a.group.Addr, "", nil)
 	}
-	c.done = func(r *reply, e link.EndReason) {
+	c.done = func(r *reply, e transport.EndReason) {
 		a.deleteCall = nil
 		if r == nil && c.writtenAt > 0 {
 			a.query.deleteUnanswered()
@@ -392,7 +392,7 @@
 			"fixed", c.writtenAfterPost)
 		switch {
 		case a.finished:
-		case a.endReported, status == 204 && c.writtenAfterPost, e == link.ConnRefused && a.group.replaced():
+		case a.endReported, status == 204 && c.writtenAfterPost, e == transport.ConnRefused && a.group.replaced():
 			a.finish(a.cancelReason)
 		case status == 204 && !a.postSettled(): // another DELETE is sent once the POST is settled
 		case status == 204:
@@ -408,7 +408,7 @@
 }
 
 // finish ends the attempt and reports its outcome. Every attempt ends here, once.
-func (a *attempt) finish(e link.EndReason) {
+func (a *attempt) finish(e transport.EndReason) {
 	if a.finished {
 		return
 	}
@@ -429,7 +429,7 @@
 		}
 	}
 	a.outcome.EndReason = e
-	if e != link.Served {
+	if e != transport.Served {
 		a.outcome.Duration, a.outcome.Result = a.fleet.Now()-a.startedAt, nil
 	}
 	a.fleet.Watcher.AttemptEnded(a.outcome)
--- a/internal/rest/proof.go
+++ b/internal/workergroup/end_proof.go
@@ -1,16 +1,16 @@
-package rest
+package workergroup
 
 import (
 	"maps"
 	"slices"
 
 	"thymeway/internal/deadline"
-	"thymeway/internal/link"
+	"thymeway/internal/transport"
 )
 
 // This file holds the rules for when an attempt is proven to have ended. Two guarantees depend on them: a request has at most
-// one attempt in flight, and the requests of one order key run one at a time. Watcher.Ended must therefore not be called for an
-// attempt whose POST was written until one of the proofs below holds.
+// one attempt in flight, and the requests of one order key run one at a time. AttemptListener.AttemptEnded must therefore not
+// be called for an attempt whose POST was written until one of the proofs below holds.
 //
 // First the POST must be settled: it has arrived at the worker group, or it never will. It is settled once one of these holds:
 //   - The POST was answered, or a poll for the query's status found the query running.
@@ -138,7 +138,7 @@
 	if a.cancelled {
 		a.finish(a.cancelReason)
 	} else {
-		a.finish(link.NoAnswer)
+		a.finish(transport.NoAnswer)
 	}
 }
 
--- a/internal/rest/proof_test.go
+++ b/internal/workergroup/end_proof_test.go
@@ -1,4 +1,4 @@
-package rest
+package workergroup
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 	"thymeway/choice"
 	"thymeway/internal/coordinator"
 	"thymeway/internal/deadline"
-	"thymeway/internal/link"
-	"thymeway/internal/tally"
+	"thymeway/internal/faultlog"
+	"thymeway/internal/transport"
 )
 
 // silentNetwork is a network whose worker groups accept connections and never answer.
@@ -17,7 +17,7 @@
 	pendingDials []func()
 }
 
-func (d *silentNetwork) Dial(_ string, h link.Handler) {
+func (d *silentNetwork) Dial(_ string, h transport.Handler) {
 	d.pendingDials = append(d.pendingDials, func() {
 		d.opened++
 		d.open++
@@ -52,7 +52,7 @@
 	now, network, watcher := 0.0, &silentNetwork{}, &countingWatcher{map[string]int{}, map[string]int{}}
 	queue := deadline.New()
 	fleet := &Fleet{Dialer: network, Deadlines: queue, Now: func() float64 { return now }, Watcher: watcher,
-		Faults:         &tally.FaultLog{Now: func() float64 { return now }},
+		Faults:         &faultlog.FaultLog{Now: func() float64 { return now }},
 		ConnectTimeout: 250, ConnIdleTimeout: 10000, MaxConns: 20}
 	for i := range 3 {
 		fleet.Update(coordinator.ListedEngine{Engine: choice.Engine{ID: fmt.Sprint("s", i)}, Addr: fmt.Sprint("127.0.0.1:410", i)})
--- a/internal/rest/fleet.go
+++ b/internal/workergroup/fleet.go
@@ -1,6 +1,6 @@
-// Package rest implements the client side of the worker groups' HTTP/1.1 protocol. A connection carries one call at a time, and a
-// query is not tied to a connection: any connection to its worker group can be used to poll or delete it.
-package rest
+// Package workergroup implements the client side of the worker groups' HTTP/1.1 protocol. A connection carries one call at a
+// time, and a query is not tied to a connection: any connection to its worker group can be used to poll or delete it.
+package workergroup
 
 import (
 	"strings"
@@ -9,8 +9,8 @@
 	"thymeway/internal/coordinator"
 	"thymeway/internal/deadline"
 	"thymeway/internal/directory"
-	"thymeway/internal/link"
-	"thymeway/internal/tally"
+	"thymeway/internal/faultlog"
+	"thymeway/internal/transport"
 )
 
 // Timeouts, pauses (in milliseconds) and limits.
@@ -39,11 +39,11 @@
 // Fleet holds the worker groups named by the discovery service, and those that have disappeared from it but still have
 // attempts or connections. It implements coordinator.Engines.
 type Fleet struct {
-	Dialer          link.Dialer
+	Dialer          transport.Dialer
 	Deadlines       *deadline.Queue
 	Now             func() float64
 	Watcher         coordinator.AttemptListener
-	Faults          *tally.FaultLog
+	Faults          *faultlog.FaultLog
 	ConnectTimeout  float64
 	ConnIdleTimeout float64 // after which an idle connection is closed
 	MaxConns        int     // limit over all worker groups
@@ -146,10 +146,10 @@
 	a.begin()
 }
 
-// Cancel cancels an attempt, if it is in flight. Watcher.Ended follows once the attempt is proven to have ended.
+// Cancel cancels an attempt, if it is in flight. AttemptListener.AttemptEnded follows once the attempt is proven to have ended.
 func (f *Fleet) Cancel(id string, n int) {
 	if a := f.attempts[attemptKey{id, n}]; a != nil {
-		a.cancel(link.Cancelled)
+		a.cancel(transport.Cancelled)
 	}
 }
 
@@ -157,18 +157,18 @@
 func (f *Fleet) Probe(engine string) {
 	g, _ := f.groups.Get(engine)
 	sent := f.Now()
-	report := func(r *reply, e link.EndReason) {
+	report := func(r *reply, e transport.EndReason) {
 		outcome := coordinator.Outcome{Engine: engine, EndReason: e, Duration: f.Now() - sent}
 		if r != nil {
 			outcome.Report = r.report
 			if r.status != 200 {
-				outcome.EndReason = link.Full
+				outcome.EndReason = transport.Full
 			}
 		}
 		f.Watcher.ProbeEnded(outcome)
 	}
 	if g == nil || g.Addr == "" {
-		report(nil, link.Unreachable)
+		report(nil, transport.Unreachable)
 		return
 	}
 	g.start(&call{build: func() []byte { return buildRequest("GET", "/busy", g.Addr, "", nil) },
--- a/internal/rest/pool.go
+++ b/internal/workergroup/pool.go
@@ -1,4 +1,4 @@
-package rest
+package workergroup
 
 import (
 	"maps"
@@ -6,8 +6,8 @@
 
 	"thymeway/internal/deadline"
 	"thymeway/internal/directory"
-	"thymeway/internal/link"
 	"thymeway/internal/logs"
+	"thymeway/internal/transport"
 )
 
 // call is one HTTP call to a worker group. done is called once, unless the call is abandoned. The connection of a call that
@@ -16,7 +16,7 @@
 	group            *group
 	build            func() []byte // returns the bytes just before they are written; nil withdraws the call
 	timeout          float64       // for the answer, in ms from when the call is written
-	done             func(r *reply, e link.EndReason)
+	done             func(r *reply, e transport.EndReason)
 	lateAnswer       func(r *reply) // called with an answer that arrives after the timeout; nil ignores it
 	waitsForConn     bool           // concerns a query that may be running, so a refused connection does not fail it
 	keepsAlive       *query         // the query that the call keeps alive, if any
@@ -51,7 +51,7 @@
 	group        *group
 	number       int // for the log
 	addr         string
-	transport    link.Conn
+	transport    transport.Conn
 	parser       parser
 	call         *call
 	answerBegun  bool // part of an answer has arrived
@@ -64,7 +64,7 @@
 func (g *group) start(c *call) {
 	c.group = g
 	if g.Addr == "" { // the process has ended: another one listens at its address
-		c.done(nil, link.ConnRefused)
+		c.done(nil, transport.ConnRefused)
 		return
 	}
 	if cn := g.answering; cn != nil {
@@ -83,9 +83,9 @@
 		cn.close()
 	}
 	c.timer.Do = func() {
-		e := link.Unreachable
+		e := transport.Unreachable
 		if g.dialing == 0 {
-			e = link.NoDescriptor
+			e = transport.NoDescriptor
 		}
 		g.failWaiting(c, e)
 	}
@@ -108,7 +108,7 @@
 }
 
 // failWaiting fails a call that still waits for a connection.
-func (g *group) failWaiting(c *call, e link.EndReason) {
+func (g *group) failWaiting(c *call, e transport.EndReason) {
 	if g.removeWaiting(c) {
 		c.done(nil, e)
 	}
@@ -116,9 +116,9 @@
 
 // failFirstWaiting fails the first waiting call that the failed connection was meant for. Danger: a draining worker group refuses
 // connections and goes on running its queries; calls that concern those queries keep waiting for an open connection.
-func (g *group) failFirstWaiting(e link.EndReason) {
+func (g *group) failFirstWaiting(e transport.EndReason) {
 	for _, c := range g.waiting {
-		if !c.waitsForConn || e != link.ConnRefused || g.replaced() {
+		if !c.waitsForConn || e != transport.ConnRefused || g.replaced() {
 			g.failWaiting(c, e)
 			return
 		}
@@ -147,7 +147,7 @@
 	for _, id := range slices.Sorted(maps.Keys(g.queries)) {
 		for _, a := range slices.Clone(g.queries[id].attempts) {
 			if a.postedAt == 0 {
-				a.finish(link.Expired)
+				a.finish(transport.Expired)
 			}
 		}
 	}
@@ -166,7 +166,7 @@
 		}
 	}
 	for len(g.waiting) > 0 {
-		g.failWaiting(g.waiting[0], link.ConnRefused)
+		g.failWaiting(g.waiting[0], transport.ConnRefused)
 	}
 }
 
@@ -182,7 +182,7 @@
 // abandon ignores the outcome of a call. If it was written already, its answer is still read from the connection and dropped.
 func (c *call) abandon() {
 	if !c.group.removeWaiting(c) {
-		c.done = func(*reply, link.EndReason) {}
+		c.done = func(*reply, transport.EndReason) {}
 	}
 }
 
@@ -195,7 +195,7 @@
 	b := c.build()
 	if b == nil {
 		cn.makeAvailable(0)
-		c.done(nil, link.Unreachable)
+		c.done(nil, transport.Unreachable)
 		return
 	}
 	cn.call, c.writtenAt, c.connNumber = c, f.Now(), cn.number
@@ -203,17 +203,17 @@
 		// Danger: connections to a machine that is cut off from the network stay open without any sign of failure.
 		if c.keepsAlive == nil {
 			cn.close()
-			cn.failCall(link.NoAnswer)
+			cn.failCall(transport.NoAnswer)
 			return
 		}
 		done := c.done
-		c.done = func(r *reply, _ link.EndReason) {
+		c.done = func(r *reply, _ transport.EndReason) {
 			if r != nil && c.lateAnswer != nil {
 				c.lateAnswer(r)
 			}
 		}
 		cn.keepSilent()
-		done(nil, link.NoAnswer)
+		done(nil, transport.NoAnswer)
 	}
 	f.Deadlines.Set(&c.timer, f.Now()+c.timeout)
 	if c.keepsAlive != nil {
@@ -335,8 +335,8 @@
 	cn.group.fleet.conns--
 }
 
-// Opened implements link.Handler: the connection was established.
-func (cn *conn) Opened(c link.Conn) {
+// Opened implements transport.Handler: the connection was established.
+func (cn *conn) Opened(c transport.Conn) {
 	cn.group.dialing--
 	cn.group.refusing = false
 	cn.transport = c
@@ -344,7 +344,7 @@
 	cn.group.retryDeletes()
 }
 
-// Received implements link.Handler: it parses bytes of an answer and completes the call with it.
+// Received implements transport.Handler: it parses bytes of an answer and completes the call with it.
 func (cn *conn) Received(b []byte) {
 	f := cn.group.fleet
 	if cn.ignoresInput {
@@ -379,12 +379,12 @@
 	c.settle()
 	if r.closeConn {
 		cn.close()
-		c.done(r, link.Served)
+		c.done(r, transport.Served)
 		return
 	}
 	// The answer is processed before the connection is made available, so that a follow-up call uses it and opens no new one.
 	cn.group.answering = cn
-	c.done(r, link.Served)
+	c.done(r, transport.Served)
 	if cn.group.answering != cn {
 		return
 	}
@@ -405,7 +405,7 @@
 	c := cn.call
 	if c.keepsAlive == nil {
 		cn.close()
-		cn.failCall(link.Malformed)
+		cn.failCall(transport.Malformed)
 		return
 	}
 	cn.ignoresInput = true
@@ -415,8 +415,8 @@
 		cn.keepSilent()
 	}
 	done := c.done
-	c.done = func(*reply, link.EndReason) {}
-	done(nil, link.Malformed)
+	c.done = func(*reply, transport.EndReason) {}
+	done(nil, transport.Malformed)
 }
 
 // closeAnswering closes the connection whose answer is being processed, as that answer was invalid.
@@ -427,8 +427,8 @@
 	}
 }
 
-// Closed implements link.Handler: the connection was ended by the other side or by an error, or could not be established.
-func (cn *conn) Closed(e link.EndReason) {
+// Closed implements transport.Handler: the connection was ended by the other side or by an error, or could not be established.
+func (cn *conn) Closed(e transport.EndReason) {
 	if cn.transport != nil {
 		wasSilent := slices.Contains(cn.group.silent, cn)
 		cn.removeIdle()
@@ -453,7 +453,7 @@
 	g := cn.group
 	g.dialing--
 	cn.detach()
-	g.refusing = e == link.ConnRefused
+	g.refusing = e == transport.ConnRefused
 	if g.refusing {
 		g.redialTimer.Do = g.dial
 		g.fleet.Deadlines.Set(&g.redialTimer, g.fleet.Now()+refusedPause)
@@ -462,7 +462,7 @@
 	// was for.
 	if len(g.waiting) > g.dialing && cn.addr == g.Addr {
 		// A connection that was reset while being established says nothing about the worker group, so another one is opened.
-		if g.resets++; e == link.ConnRefused || e == link.Unreachable || g.resets > maxConnResets {
+		if g.resets++; e == transport.ConnRefused || e == transport.Unreachable || g.resets > maxConnResets {
 			g.failFirstWaiting(e)
 		}
 	}
@@ -471,7 +471,7 @@
 }
 
 // failCall fails the call on a connection that has ended, if any.
-func (cn *conn) failCall(e link.EndReason) {
+func (cn *conn) failCall(e transport.EndReason) {
 	if c := cn.call; c != nil {
 		cn.call = nil
 		cn.group.fleet.Deadlines.Cancel(&c.timer)
--- a/internal/rest/reply.go
+++ b/internal/workergroup/reply.go
@@ -1,4 +1,4 @@
-package rest
+package workergroup
 
 import (
 	"errors"
