--- a/choice/api.go
+++ b/choice/api.go
@@ -2,9 +2,8 @@
 // engine runs which query and when.
 //
 // A Scheduler is driven by timed events and answers with actions. It starts no goroutine, reads no clock, does no
-// input or output and shares no state; equal settings, seed and events give equal actions. All times are in
-// milliseconds. Points in time and durations are float64; points in time count from one origin that the caller
-// chooses.
+// input or output and shares no state; equal settings, seed and events give equal actions. All times are float64 in
+// milliseconds. Points in time count from one origin that the caller chooses.
 package choice
 
 // Idempotency says whether a request may be sent again once an attempt of it may have run.
@@ -32,18 +31,18 @@
 	Name           string
 	Value          float64 // of an answer within the latency target
 	LateValueShare float64 // share of Value that a later answer still has
-	LatencyTarget  float64 // for a query without work; see TargetStretch
-	TargetStretch  float64 // the target grows by this times the query's work per thread
-	ClientTimeout  float64 // how long a client waits in all
+	LatencyTarget  float64 // of a query without work; see TargetStretch
+	TargetStretch  float64 // the target grows by this multiple of the query's work per thread
+	ClientTimeout  float64 // how long a client waits in total
 	Idempotency    Idempotency
 	DedupScope     DedupScope // of Deduplicated requests
 	DedupWindow    float64    // of Deduplicated requests, from the send of the first attempt that may have run
 	InOrder        bool       // requests with the same order key run one after the other
-	Zones          []string   // in which it may run; empty: in all
-	Kinds          []string   // of engines on which it may run; empty: on all
-	Threads        float64    // on which one query runs
-	IsLoad         bool       // loads data into its table group and holds the group on its engine meanwhile
-	WaitsForLoads  bool       // stands still on its engine while a load holds its table group there
+	Zones          []string   // zones in which it may run; empty: all
+	Kinds          []string   // kinds of engines on which it may run; empty: all
+	Threads        float64    // number of threads on which one query runs
+	IsLoad         bool       // loads data into its table group and holds the group on its engine while it runs
+	WaitsForLoads  bool       // is blocked on its engine while a load holds its table group there
 }
 
 // Kind describes a kind of engine.
@@ -68,37 +67,37 @@
 	Classes                            []Class
 	Kinds                              []Kind
 	Tenants                            []Tenant
-	OverQuotaValueShare                float64 // share of its value that a request beyond its tenant's quota has
-	MustSubscribe                      bool    // the engine list comes only after a Subscribe
-	SubscribePeriod                    float64 // within which a failed subscription must be renewed; see Subscribe
-	MaxAttempts                        int     // of one request
-	MaxOpenRequests                    int     // that the coordinator can have open at a time; 0: no limit
+	OverQuotaValueShare                float64 // share of its value that a request beyond its tenant's quota keeps
+	MustSubscribe                      bool    // the engine list is sent only after a Subscribe
+	SubscribePeriod                    float64 // a failed subscription must be renewed within this time; see Subscribe
+	MaxAttempts                        int     // per request
+	MaxOpenRequests                    int     // requests that the coordinator can have open at a time; 0: no limit
 	ParallelAttempts                   bool    // a request may have two attempts open at a time
 	CanCancel                          bool
 	CanProbe                           bool
 	CanSendToPeers                     bool // coordinators can send each other short messages
 	MaxPeerMessageBytes                int
 	CanAdviseRetry                     bool    // a refusal can tell the client when to try again
-	MaxRetryAfter                      float64 // longest such advice that a client follows
-	ReportsOnlyFromProbes              bool    // load reports come with probe results only
-	NoticePeriod                       float64 // between progress notices of an attempt; 0: there are none
+	MaxRetryAfter                      float64 // longest advised pause that a client follows
+	ReportsOnlyFromProbes              bool    // only probe results carry load reports
+	NoticePeriod                       float64 // time between progress notices of an attempt; 0: there are none
 	AnswersCarryCost                   bool    // answers carry Work and Mem
 	GrantsHonored                      bool    // engines honor memory grants
 	MemoryPaging                       bool    // engines accept queries beyond their memory, and all of them slow down
 	PrioritiesHonored                  bool    // engines honor priorities
 	MaxGrantShare                      float64 // largest share of an engine's memory that one query may be granted
 	DrainGrace                         float64 // grace period of a drain
-	OverloadMultiple                   float64 // times its capacity: a cold engine must not get more work; 0: no rule
-	OverloadWindow                     float64 // over which that work is counted
+	OverloadMultiple                   float64 // limit of the work sent to a cold engine, in multiples of its capacity; 0: none
+	OverloadWindow                     float64 // time window over which that work is counted
 	ColdCapacityShare                  float64 // share of its capacity that an engine has right after its start
-	WarmUpTime                         float64 // until an engine has its full capacity
+	WarmUpTime                         float64 // time from the start of an engine until it has its full capacity
 	OrderSettleTime                    float64 // pause of an order key after an attempt that may still run
-	HasRetryRation                     bool
-	RetryRationFree                    float64 // retries allowed per RetryRationWindow whatever the traffic
+	HasRetryRation                     bool    // the three RetryRation settings below apply
+	RetryRationFree                    float64 // retries allowed per RetryRationWindow regardless of the traffic
 	RetryRationShare                   float64 // further retries allowed per request that arrived in the window
 	RetryRationWindow                  float64
-	ProbePrice                         float64
-	CrossZonePrice                     float64
+	ProbePrice                         float64 // cost of one probe
+	CrossZonePrice                     float64 // cost of a query sent to another zone
 }
 
 // Status is the state of an engine in the engine list.
@@ -117,8 +116,8 @@
 	Zone      string
 	Kind      string
 	Size      float64
-	Cell      int
-	StartedAt float64 // 0: long ago
+	Cell      int     // number of its cell, the unit of DedupInCell
+	StartedAt float64 // point in time; 0: long ago
 	Status    Status
 }
 
@@ -131,14 +130,14 @@
 // Event is an input of Scheduler.Step.
 type Event interface{ event() }
 
-// EngineList reports engines that are new or have changed. Complete means that engines not in it no longer exist,
-// Failed that the subscription failed and Engines holds nothing.
+// EngineList reports engines that are new or have changed. If Complete is set, engines not in the list no longer
+// exist. If Failed is set, the subscription has failed and Engines is empty.
 type EngineList struct {
 	Complete, Failed bool
 	Engines          []Engine
 }
 
-// Request is a new request. It gets exactly one final answer: that of a good Outcome, a Refuse or a Fail.
+// Request is a new request. It gets exactly one final answer: that of a successful Outcome, a Refuse or a Fail.
 type Request struct {
 	ID              string
 	Class           string
@@ -148,7 +147,7 @@
 	Work            float64 // estimated CPU ms over all threads; 0: no estimate
 	Mem             float64 // estimated MB; 0: no estimate
 	TableGroup      string
-	Repeat          bool // the client sent it before
+	Repeat          bool // the client has sent it before
 	AtMostOnce      bool // overrides the class's Idempotency
 	EstimateLearned bool // Work and Mem come from earlier runs, so the correction of clients' estimates does not apply
 }
@@ -156,17 +155,17 @@
 // Result is how an attempt ended.
 type Result int
 
-// The values of Result. Those before OK prove that the attempt never ran, those after it do not.
+// The values of Result. Those before OK prove that the attempt never ran; those after OK do not.
 const (
-	Full Result = iota
-	ConnectFailed
-	NotRun   // it was never sent
-	Rejected // the engine found the request itself invalid, as any other engine would
-	OK
-	Error
-	Timeout
-	Reset
-	Cancelled
+	Full          Result = iota // the engine had no room for the query
+	ConnectFailed               // no connection to the engine could be opened
+	NotRun                      // the query's time was over before it ran, or this machine had no descriptor for a connection
+	Rejected                    // the engine found the request itself invalid, as any other engine would
+	OK                          // the engine answered the query
+	Error                       // the attempt failed and no longer runs
+	Timeout                     // no answer came, and the query may still run
+	Reset                       // the connection was lost, as when the engine's process ends
+	Cancelled                   // the coordinator ended the attempt, which may still run
 )
 
 // MayHaveRun reports whether an attempt that ended with this result, other than OK, may have taken effect.
@@ -179,7 +178,7 @@
 	Engine       string
 	Result       Result
 	Duration     float64
-	RequestEnded bool    // the client has its final answer
+	RequestEnded bool    // the client has received its final answer
 	Work         float64 // CPU ms; 0: not known
 	Mem          float64 // MB; 0: not known
 	Report       Report
@@ -192,7 +191,7 @@
 const (
 	NoticeProgress NoticeKind = 1 // Level is the share done, from 0 to 1
 	NoticeSpill    NoticeKind = 2 // Level is the memory that the query lacks, in MB
-	NoticeWait     NoticeKind = 3 // Level 2: the query stands still behind a load
+	NoticeWait     NoticeKind = 3 // Level 2 means that the query is blocked by a load
 )
 
 // Notice is a progress notice of an attempt that is still running.
@@ -204,15 +203,15 @@
 	Level   float64 // its meaning depends on Kind
 }
 
-// Overdue says that a request's deadline has passed and it is not known yet whether its attempt still runs. The
-// Outcome follows once that is known. Where the end of the wait proves that the attempt has ended, as in the
-// simulator, only the Outcome comes.
+// Overdue says that a request's deadline has passed while it is not yet known whether its attempt still runs. The
+// Outcome follows once that is known. In the simulator, where the end of the wait proves that the attempt has ended,
+// there is only the Outcome.
 type Overdue struct{ Request string }
 
-// ClientGone says that a request needs no answer any more, as its client is gone.
+// ClientGone says that a request's client has disconnected, so that the request needs no answer.
 type ClientGone struct{ Request string }
 
-// Timer says that the time of a Wake has come.
+// Timer says that the point in time of a Wake has been reached.
 type Timer struct{ Token string }
 
 // ProbeResult is the result of a Probe.
@@ -223,7 +222,7 @@
 	Report   Report
 }
 
-// PeerMessage is a message from another coordinator. It may come late, twice or malformed.
+// PeerMessage is a message from another coordinator. It may arrive late, twice or malformed.
 type PeerMessage struct {
 	From int
 	Data []byte
@@ -250,14 +249,14 @@
 type Send struct {
 	Request, Engine string
 	Timeout         float64 // 0: until the request's deadline
-	NotAfter        float64 // point in time after which it must not be sent any more; 0: none but the deadline
+	NotAfter        float64 // point in time after which it must not be sent; 0: only the deadline bounds the send
 }
 
 // SendOptions sets the priority and the memory grant of the request's next Send.
 type SendOptions struct {
 	Request  string
 	Priority int     // 0 to 3, 3 is the highest
-	Grant    float64 // MB; 0: the engine's own choice
+	Grant    float64 // MB; 0: the engine chooses
 }
 
 // Cancel cancels an attempt. Its Outcome still follows.
@@ -291,7 +290,7 @@
 // Subscribe asks for the engine list and its changes.
 type Subscribe struct{}
 
-// SendToPeer sends a message to the coordinator of that number. The message may be lost.
+// SendToPeer sends a message to the coordinator with the number To. The message may be lost.
 type SendToPeer struct {
 	To   int
 	Data []byte
--- a/choice/attempts.go
+++ b/choice/attempts.go
@@ -1,6 +1,6 @@
 package choice
 
-// Attempts: accepting requests, sending, sending again, refusing and cancelling. Every rule is checked here.
+// This file accepts requests, and sends, repeats, refuses and cancels them. Every rule is checked here.
 
 import (
 	"maps"
@@ -8,177 +8,178 @@
 	"slices"
 )
 
-// acceptRequest takes a new request in: its value by its tenant's quota, its order key, and its turn among
-// the waiting requests.
-func (f *Scheduler) acceptRequest(r Request) {
-	f.arrivals.add(f.now, 1)
-	f.totalRequests++
-	c := f.classFor(r.Class)
-	q := &request{Request: r, class: c, idempotency: c.Idempotency, arrivedAt: f.now, probedAt: math.Inf(-1)}
-	if r.AtMostOnce { // whatever its class allows
+// acceptRequest adds a new request: it sets the request's value by its tenant's quota, and puts the request
+// in the queue of its order key and among the waiting requests.
+func (s *Scheduler) acceptRequest(r Request) {
+	s.arrivals.add(s.now, 1)
+	s.totalRequests++
+	c := s.classFor(r.Class)
+	q := &request{Request: r, class: c, idempotency: c.Idempotency, arrivedAt: s.now, probedAt: math.Inf(-1)}
+	if r.AtMostOnce { // overrides the class
 		q.idempotency = AtMostOnce
 	}
 	q.value = c.Value
-	if t := f.tenants[r.Tenant]; t != nil && t.Quota > 0 {
-		// Requests of a tenant above its quota are worth little. No coordinator alone can tell which of them
-		// are above it, so each is worth their mean. One of many coordinators sees few requests of a tenant:
-		// a few above the quota are chance, not a burst.
-		t.recentRequests.add(f.now, 1, quotaWindowMs)
-		quota := t.Quota / 1000 / f.coordinators * quotaWindowMs
+	if t := s.tenants[r.Tenant]; t != nil && t.Quota > 0 {
+		// Requests beyond a tenant's quota have little value. No coordinator alone can tell which requests
+		// are beyond it, so each gets the mean value of all. One of many coordinators sees few requests of a
+		// tenant, so a few above the quota are allowed for: they are likely chance, not a burst.
+		t.recentRequests.add(s.now, 1, quotaWindowMs)
+		quota := t.Quota / 1000 / s.coordinators * quotaWindowMs
 		withinQuota := (quota + math.Max(quotaSlackRequests, quotaSlackShare*quota)) / t.recentRequests.sum
 		if withinQuota < 1 {
-			q.value *= withinQuota + (1-withinQuota)*f.settings.OverQuotaValueShare
+			q.value *= withinQuota + (1-withinQuota)*s.settings.OverQuotaValueShare
 			q.overQuota = withinQuota < lowPriorityQuotaShare
 		}
 	}
-	f.countRequest(r.TableGroup, c.IsLoad)
-	f.requestedWork.add(f.now, c.meanWork, demandWindowMs)
-	f.requests[r.ID] = q
+	s.countRequest(r.TableGroup, c.IsLoad)
+	s.requestedWork.add(s.now, c.meanWork, demandWindowMs)
+	s.requests[r.ID] = q
 	if c.InOrder && r.OrderKey != "" {
-		k := f.orderKeys[r.OrderKey]
+		k := s.orderKeys[r.OrderKey]
 		if k == nil {
 			k = &orderKey{}
-			f.orderKeys[r.OrderKey] = k
+			s.orderKeys[r.OrderKey] = k
 		}
 		q.orderKey = k
 		k.queue = append(k.queue, q)
 	}
-	f.enqueue(q)
+	s.enqueue(q)
 }
 
-// isAllowed tells whether the rules and the health of an engine let a request go there now.
-func (f *Scheduler) isAllowed(e *engine, q *request) bool {
-	if !e.listed || f.now < e.pausedUntil || e.pausedFor(q.class, f.now) {
+// isAllowed reports whether the rules and the health of an engine allow a request to be sent there now.
+func (s *Scheduler) isAllowed(e *engine, q *request) bool {
+	if !e.listed || s.now < e.pausedUntil || e.pausedFor(q.class, s.now) {
 		return false
 	}
 	if len(q.class.Zones) > 0 && !contains(q.class.Zones, e.Zone) ||
 		len(q.class.Kinds) > 0 && !contains(q.class.Kinds, e.Kind) {
-		return false // placement rule
+		return false // placement rule of the class
 	}
 	if q.mayHaveRunOn != nil && (q.idempotency == AtMostOnce || q.idempotency == Deduplicated &&
-		(f.dedupWindowExpired(q) || q.class.DedupScope == DedupInZone && q.mayHaveRunOn.Zone != e.Zone ||
+		(s.dedupWindowExpired(q) || q.class.DedupScope == DedupInZone && q.mayHaveRunOn.Zone != e.Zone ||
 			q.class.DedupScope == DedupInCell && q.mayHaveRunOn.Cell != e.Cell)) {
 		return false // rule on repeats of requests that may have run
 	}
-	return f.withinColdBudget(e, q)
+	return s.withinColdBudget(e, q)
 }
 
-// withinRation tells whether one more attempt beyond a request's first fits the retry ration.
-func (f *Scheduler) withinRation() bool {
-	if !f.settings.HasRetryRation {
+// withinRation reports whether the retry ration allows one more attempt beyond a request's first.
+func (s *Scheduler) withinRation() bool {
+	if !s.settings.HasRetryRation {
 		return true
 	}
-	period := f.settings.RetryRationWindow
-	allowed := f.settings.RetryRationFree +
-		f.settings.RetryRationShare*f.arrivals.sumSince(f.now-period+f.checkInterval)
-	return f.retries.sumSince(f.now-period-f.checkInterval)+1 <= allowed
+	period := s.settings.RetryRationWindow
+	allowed := s.settings.RetryRationFree +
+		s.settings.RetryRationShare*s.arrivals.sumSince(s.now-period+s.checkInterval)
+	return s.retries.sumSince(s.now-period-s.checkInterval)+1 <= allowed
 }
 
-// send is the only place that sends attempts. It checks every rule, whatever path led to it, and tells
-// whether it sent.
-func (f *Scheduler) send(q *request, e *engine, expected float64) bool {
+// send is the only function that sends attempts. It checks every rule, whichever function calls it, and
+// reports whether it sent the attempt.
+func (s *Scheduler) send(q *request, e *engine, expected float64) bool {
 	switch {
-	case q.ended, q.sendCount >= max(f.settings.MaxAttempts, 1),
-		len(q.openAttempts) > 0 && !(f.settings.ParallelAttempts && q.idempotency == Idempotent),
-		!f.isAllowed(e, q), // drains, repeats, cold engines, placement
-		q.orderKey != nil && (q.orderKey.queue[0] != q || f.now < q.orderKey.settlesAt), // order key
-		q.sendCount > 0 && !f.withinRation():                                            // retry ration
+	case q.ended, q.sendCount >= max(s.settings.MaxAttempts, 1),
+		len(q.openAttempts) > 0 && !(s.settings.ParallelAttempts && q.idempotency == Idempotent),
+		!s.isAllowed(e, q), // drains, repeats, cold engines, placement
+		q.orderKey != nil && (q.orderKey.queue[0] != q || s.now < q.orderKey.settlesAt), // order key
+		q.sendCount > 0 && !s.withinRation():                                            // retry ration
 		return false
 	}
 	if q.sendCount > 0 {
-		f.retries.add(f.now, 1)
-		f.restOrderKey(q)
+		s.retries.add(s.now, 1)
+		s.delayOrderKey(q)
 	}
-	priority, grant := f.priority(q), 0.0
-	// Where a class's memory estimates are too low, its queries spill, and this extra work fills the disks.
-	if f.settings.GrantsHonored && f.settings.NoticePeriod > 0 { // progress notices report spills
+	priority, grant := s.priority(q), 0.0
+	// If a class's memory estimates are too low, its queries spill to disk, and the extra work fills the
+	// disks.
+	if s.settings.GrantsHonored && s.settings.NoticePeriod > 0 { // progress notices report spills
 		grant = q.Mem * q.class.grantRatio
 	}
-	if f.settings.PrioritiesHonored && priority != 1 || grant > 0 {
-		f.emit(SendOptions{q.ID, priority, grant})
+	if s.settings.PrioritiesHonored && priority != 1 || grant > 0 {
+		s.emit(SendOptions{q.ID, priority, grant})
 	}
-	f.emit(Send{Request: q.ID, Engine: e.ID, NotAfter: f.dedupWindowEnd(q)})
-	a := &attempt{request: q, engine: e, number: q.sendCount, priority: priority, sentAt: f.now,
-		expectedTime: expected, warm: f.isWarm(e, q),
-		underLightLoad: f.engineLoad(e) < uncrowdedLoad, loadSlowdown: f.loadSlowdown(e, q.class.Threads),
-		unloadedTime: f.predictWork(q) / q.class.Threads}
+	s.emit(Send{Request: q.ID, Engine: e.ID, NotAfter: s.dedupWindowEnd(q)})
+	a := &attempt{request: q, engine: e, number: q.sendCount, priority: priority, sentAt: s.now,
+		expectedTime: expected, warm: s.isWarm(e, q),
+		underLightLoad: s.engineLoad(e) < lightLoad, loadSlowdown: s.loadSlowdown(e, q.class.Threads),
+		unloadedTime: s.predictWork(q) / q.class.Threads}
 	a.lastProgressAt = a.sentAt
 	q.sendCount++
 	q.openAttempts = append(q.openAttempts, a)
 	e.openAttempts = append(e.openAttempts, a)
 	e.threadsOut += q.class.Threads
-	f.threadsOut += q.class.Threads
-	f.threadsByPriority[priority] += q.class.Threads
-	e.tableGroupSentAt[q.TableGroup] = f.now
-	e.recentSends = append(e.recentSends, recentSend{f.now, q.class.Threads, math.Max(expected, 1)})
-	if q.valueDensity < f.meanValueDensity() { // only costly ones, which are few
-		f.sendToPeers(e, encodePeerItem(peerItemSend, e, q.class.Threads, expected/peerRunStepMs, 0))
+	s.threadsOut += q.class.Threads
+	s.threadsByPriority[priority] += q.class.Threads
+	e.tableGroupSentAt[q.TableGroup] = s.now
+	e.recentSends = append(e.recentSends, recentSend{s.now, q.class.Threads, math.Max(expected, 1)})
+	if q.valueDensity < s.meanValueDensity() { // peers are informed only of costly queries, which are few
+		s.sendToPeers(e, encodePeerItem(peerItemSend, e, q.class.Threads, expected/peerRunStepMs, 0))
 	}
-	e.workSent.add(f.now, math.Max(f.predictWork(q), q.class.meanWork))
+	e.workSent.add(s.now, math.Max(s.predictWork(q), q.class.meanWork))
 	return true
 }
 
-// dedupWindowEnd is the time until which a request that may have run may be sent again, since a connection
-// for it may open late; 0 means no bound.
-func (f *Scheduler) dedupWindowEnd(q *request) float64 {
+// dedupWindowEnd returns the point in time until which a request that may have run may be sent again, or 0 if
+// there is no bound. Send carries it because a connection for the request may open late.
+func (s *Scheduler) dedupWindowEnd(q *request) float64 {
 	if q.mayHaveRunOn == nil || q.idempotency != Deduplicated {
 		return 0
 	}
 	return q.mayHaveRunSince + q.class.DedupWindow
 }
 
-// handleOutcome handles the end of an attempt: it learns from it, then ends the request, refuses it or puts
-// it back in the queue.
-func (f *Scheduler) handleOutcome(o Outcome) {
-	q := f.requests[o.Request]
+// handleOutcome handles the end of an attempt: it updates what is learned and the engine's health, then ends
+// the request, refuses it or puts it back among the waiting ones.
+func (s *Scheduler) handleOutcome(o Outcome) {
+	q := s.requests[o.Request]
 	if q == nil {
 		return
 	}
-	a := f.removeAttempt(q, o.Attempt)
+	a := s.removeAttempt(q, o.Attempt)
 	if a == nil {
 		return
 	}
 	e, c := a.engine, q.class
-	f.applyReport(e, o.Report)
+	s.applyReport(e, o.Report)
 	switch o.Result {
 	case OK:
-		f.learnFromAnswer(a, o)
+		s.learnFromAnswer(a, o)
 		value := q.value
-		if f.now > q.targetAt {
+		if s.now > q.targetAt {
 			value *= c.LateValueShare
 		}
-		f.servedValue.add(f.now, value, servedValueWindowMs)
+		s.servedValue.add(s.now, value, servedValueWindowMs)
 		if !a.spilled {
 			c.grantRatio = math.Max(c.grantRatio*grantDecayRatio, 1/maxOutcomeRatio)
 		}
 		if q.slowDuration > 0 {
-			c.restartShare, c.restartShareAt = f.restartShare(c)+
-				(math.Min(o.Duration/q.slowDuration, 2)-f.restartShare(c))*restartLearnRate, f.now
+			c.restartShare, c.restartShareAt = s.restartShare(c)+
+				(math.Min(o.Duration/q.slowDuration, 2)-s.restartShare(c))*restartLearnRate, s.now
 		}
-		e.lastHeardAt, e.lastOKAt, e.failures, e.errorsInRow = f.now, f.now, 0, 0
+		e.lastHeardAt, e.lastOKAt, e.failures, e.errorsInRow = s.now, s.now, 0, 0
 		delete(e.healthByClass, c)
-	case Full: // an engine that takes nothing answers at once and, with no attempts out, looks idle
-		e.lastHeardAt = f.now
-		if f.pauseForClass(e, c); f.now-e.lastOKAt > initialPauseMs {
-			f.pauseEngine(e)
+	case Full: // an engine that rejects every query answers at once and, with no open attempts, looks idle
+		e.lastHeardAt = s.now
+		if s.pauseForClass(e, c); s.now-e.lastOKAt > initialPauseMs {
+			s.pauseEngine(e)
 		}
 	case Error, Reset:
-		// An engine that fails fast looks idle and draws all traffic. A single reset may be due to a poor
-		// link.
+		// An engine that fails fast looks idle and would attract all traffic. A single reset may be due to a
+		// poor network link.
 		if o.Result == Error {
-			e.lastHeardAt = f.now
+			e.lastHeardAt = s.now
 		}
-		if f.countError(q, e); e.healthFor(c).errorsInRow >= suspectAfterErrors {
-			f.pauseForClass(e, c)
+		if s.countError(q, e); e.healthFor(c).errorsInRow >= suspectAfterErrors {
+			s.pauseForClass(e, c)
 		}
 		if e.errorsInRow >= suspectAfterErrors {
-			f.pauseEngine(e)
+			s.pauseEngine(e)
 			if o.Result == Reset {
 				e.assumedStartAt = e.pausedUntil
 			}
 		}
 	case ConnectFailed:
-		f.pauseEngine(e)
+		s.pauseEngine(e)
 		e.assumedStartAt = e.pausedUntil
 	case Rejected:
 		q.rejected = true
@@ -188,76 +189,76 @@
 	}
 	if o.Result == Timeout || o.Result == Reset || o.Result == Cancelled {
 		q.mayStillRun = true
-		f.restOrderKey(q)
+		s.delayOrderKey(q)
 	}
 	switch {
 	case q.ended || o.RequestEnded:
-		f.endRequest(q)
-	case len(q.openAttempts) > 0: // another attempt is still out
-	case f.isFaulty(q):
-		f.refuseOrFail(q, ReasonFaulty)
+		s.endRequest(q)
+	case len(q.openAttempts) > 0: // another attempt is still open
+	case s.isFaulty(q):
+		s.refuseOrFail(q, ReasonFaulty)
 	case q.mayHaveRunOn != nil && q.idempotency == AtMostOnce:
-		f.refuseOrFail(q, ReasonMayHaveRun)
-	case o.Result == Timeout && f.now >= q.Deadline-f.finalAnswerMargin:
-		f.refuseOrFail(q, ReasonDeadline)
+		s.refuseOrFail(q, ReasonMayHaveRun)
+	case o.Result == Timeout && s.now >= q.Deadline-s.finalAnswerMargin:
+		s.refuseOrFail(q, ReasonDeadline)
 	default:
-		f.enqueue(q)
+		s.enqueue(q)
 	}
 }
 
-// restOrderKey keeps the next request of an order key back for a while if an attempt ended without proof that
-// it runs no more. The time counts from the next send or the final answer, as nobody else knows before then
-// that the attempt is taken to be over.
-func (f *Scheduler) restOrderKey(q *request) {
+// delayOrderKey delays the next request of an order key by OrderSettleTime if an attempt ended without proof
+// that it no longer runs. The time counts from the next send or the final answer, because until then nothing
+// outside the scheduler shows that it considers the attempt to have ended.
+func (s *Scheduler) delayOrderKey(q *request) {
 	if q.orderKey != nil && q.mayStillRun {
-		q.orderKey.settlesAt = math.Max(q.orderKey.settlesAt, f.now+f.settings.OrderSettleTime)
+		q.orderKey.settlesAt = math.Max(q.orderKey.settlesAt, s.now+s.settings.OrderSettleTime)
 	}
 }
 
-// moveAttempt cancels an attempt so that its request can go to another engine, where its class, the retry
-// ration and the bound on such moves allow it.
-func (f *Scheduler) moveAttempt(a *attempt) {
+// moveAttempt cancels an attempt so that its request can be sent to another engine, if its idempotency, the
+// retry ration and the limit on moves allow it.
+func (s *Scheduler) moveAttempt(a *attempt) {
 	q := a.request
-	if !f.settings.CanCancel || a.cancelled || q.ended || q.idempotency != Idempotent {
+	if !s.settings.CanCancel || a.cancelled || q.ended || q.idempotency != Idempotent {
 		return
 	}
-	if q.sendCount >= f.settings.MaxAttempts || !f.withinRation() ||
-		f.moves.sumSince(f.now-moveWindowMs) >= freeMoves+
-			movesPerRequest*f.arrivals.sumSince(f.now-moveWindowMs) {
+	if q.sendCount >= s.settings.MaxAttempts || !s.withinRation() ||
+		s.moves.sumSince(s.now-moveWindowMs) >= freeMoves+
+			movesPerRequest*s.arrivals.sumSince(s.now-moveWindowMs) {
 		return
 	}
-	f.moves.add(f.now, 1)
+	s.moves.add(s.now, 1)
 	q.moveCount++
-	f.cancelAttempt(a)
+	s.cancelAttempt(a)
 }
 
-// cancelAttempt cancels an attempt once, where attempts can be cancelled.
-func (f *Scheduler) cancelAttempt(a *attempt) {
-	if f.settings.CanCancel && !a.cancelled {
+// cancelAttempt cancels an attempt if that is possible and has not been done yet.
+func (s *Scheduler) cancelAttempt(a *attempt) {
+	if s.settings.CanCancel && !a.cancelled {
 		a.cancelled = true
-		f.emit(Cancel{a.request.ID, a.number})
+		s.emit(Cancel{a.request.ID, a.number})
 	}
 }
 
-// refuseOrFail gives the final answer at once: a refusal with retry advice where a repeat does no harm, else
-// a failure.
-func (f *Scheduler) refuseOrFail(q *request, reason Reason) {
-	f.restOrderKey(q)
-	if !f.isFaulty(q) && f.safeToRepeat(q) {
-		// The advice is random, so that clients refused at the same time do not all return at the same time.
-		retryAfter := f.settings.MaxRetryAfter * retryAdviceShare * (0.5 + f.rng.Float64())
-		if !f.settings.CanAdviseRetry {
+// refuseOrFail gives the final answer at once: a refusal with retry advice if the client may safely repeat
+// the request, else a failure.
+func (s *Scheduler) refuseOrFail(q *request, reason Reason) {
+	s.delayOrderKey(q)
+	if !s.isFaulty(q) && s.safeToRepeat(q) {
+		// The pause is random, so that clients refused at the same time do not all retry at the same time.
+		retryAfter := s.settings.MaxRetryAfter * retryAdviceShare * (0.5 + s.rng.Float64())
+		if !s.settings.CanAdviseRetry {
 			retryAfter = 0
 		}
-		f.emit(Refuse{q.ID, retryAfter, reason})
+		s.emit(Refuse{q.ID, retryAfter, reason})
 	} else {
-		f.emit(Fail{q.ID, reason})
+		s.emit(Fail{q.ID, reason})
 	}
-	f.endRequest(q)
+	s.endRequest(q)
 }
 
-// safeToRepeat tells whether a client's retry of a request does no harm now.
-func (f *Scheduler) safeToRepeat(q *request) bool {
+// safeToRepeat reports whether the client can repeat a request now without the risk of a second effect.
+func (s *Scheduler) safeToRepeat(q *request) bool {
 	firstSent := q.mayHaveRunSince
 	if q.mayHaveRunOn == nil {
 		if len(q.openAttempts) == 0 {
@@ -265,47 +266,49 @@
 		}
 		firstSent = q.openAttempts[0].sentAt
 	}
-	inWindow := f.now < firstSent+q.class.DedupWindow-f.checkInterval
+	inWindow := s.now < firstSent+q.class.DedupWindow-s.checkInterval
 	return q.idempotency == Idempotent ||
 		q.idempotency == Deduplicated && q.class.DedupScope == DedupEverywhere && inWindow
 }
 
-// dedupWindowExpired tells whether a request with deduplicated repeats may have run so long ago that engines
-// no longer discard a repeat.
-func (f *Scheduler) dedupWindowExpired(q *request) bool {
+// dedupWindowExpired reports whether a Deduplicated request may have run so long ago that engines no longer
+// discard a repeat of it.
+func (s *Scheduler) dedupWindowExpired(q *request) bool {
 	return q.mayHaveRunOn != nil && q.idempotency == Deduplicated &&
-		f.now >= q.mayHaveRunSince+q.class.DedupWindow-f.checkInterval
+		s.now >= q.mayHaveRunSince+q.class.DedupWindow-s.checkInterval
 }
 
 // cancelAndRefuse cancels a request's attempts and gives its final answer.
-func (f *Scheduler) cancelAndRefuse(q *request, reason Reason) {
+func (s *Scheduler) cancelAndRefuse(q *request, reason Reason) {
 	if q == nil || q.ended {
 		return
 	}
-	f.cancelAttempts(q)
-	f.refuseOrFail(q, reason)
+	s.cancelAttempts(q)
+	s.refuseOrFail(q, reason)
 }
 
-// cancelRequest cancels the attempts of a request whose client has left and ends it; no answer is owed.
-func (f *Scheduler) cancelRequest(q *request) {
+// cancelRequest cancels the attempts of a request whose client has disconnected, and ends it without an
+// answer.
+func (s *Scheduler) cancelRequest(q *request) {
 	if q == nil || q.ended {
 		return
 	}
-	f.cancelAttempts(q)
-	f.endRequest(q)
+	s.cancelAttempts(q)
+	s.endRequest(q)
 }
 
-// cancelAttempts cancels a request's attempts, so that engines do no work that no client waits for.
-func (f *Scheduler) cancelAttempts(q *request) {
+// cancelAttempts cancels a request's attempts, so that engines do not work on queries for which no client
+// waits.
+func (s *Scheduler) cancelAttempts(q *request) {
 	for _, a := range q.openAttempts {
-		f.cancelAttempt(a)
+		s.cancelAttempt(a)
 	}
 }
 
-// shutDown gives every open request its final answer, in the order of their ids, so that equal events give
-// equal actions.
-func (f *Scheduler) shutDown() {
-	for _, id := range slices.Sorted(maps.Keys(f.requests)) {
-		f.cancelAndRefuse(f.requests[id], ReasonShutdown)
+// shutDown gives every open request its final answer. The order is that of the request IDs, so that equal
+// events give equal actions.
+func (s *Scheduler) shutDown() {
+	for _, id := range slices.Sorted(maps.Keys(s.requests)) {
+		s.cancelAndRefuse(s.requests[id], ReasonShutdown)
 	}
 }
--- a/choice/dedup_window_test.go
+++ b/choice/dedup_window_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A keyed request that may have run and whose window has passed cannot be repeated. It must be failed then, neither held to
-// its deadline nor refused, since a refusal promises that a new try does no harm.
+// A Deduplicated request that may have run cannot be repeated once its window has passed. It must be failed then, neither
+// held until its deadline nor refused, since a refusal promises that a new try is safe.
 func TestKeyedRequestFailsAfterItsWindow(t *testing.T) {
 	s := testSettings()
 	for i := range s.Classes {
@@ -17,7 +17,7 @@
 	draining.Status = Draining
 	actions := h.step(10, EngineList{Engines: []Engine{draining}}, Outcome{Request: "k", Engine: "e1", Result: Error})
 	h.requireNoSend(actions)
-	for range 48 { // the window ends 5,000 ms after the send
+	for range 48 { // the deduplication window ends 5,000 ms after the send
 		h.requireNoSend(h.step(100, Timer{"check"}))
 	}
 	actions = h.step(300, Timer{"check"})
@@ -26,5 +26,5 @@
 			return
 		}
 	}
-	t.Fatalf("not failed as possibly run after its window: %v", actions)
+	t.Fatalf("no failure with the reason may-have-run after the window: %v", actions)
 }
--- a/choice/example_test.go
+++ b/choice/example_test.go
@@ -7,7 +7,7 @@
 )
 
 // The scheduler of a coordinator with one engine receives a request, sends it
-// to the engine and is told that the attempt succeeded.
+// to the engine and receives the outcome of the successful attempt.
 func Example() {
 	now := 0.0
 	scheduler := choice.New(choice.Settings{
--- a/choice/harness_test.go
+++ b/choice/harness_test.go
@@ -11,18 +11,23 @@
 	now       float64
 }
 
-// testSettings are the settings of a single coordinator, with one class of each kind that the tests need.
+// testSettings returns the settings of a single coordinator with the classes that the tests need.
 func testSettings() Settings {
-	return Settings{Seed: 1, CoordinatorCount: 1, Zone: "a", MaxAttempts: 4, CanCancel: true, CanAdviseRetry: true, MaxRetryAfter: 1000,
-		Kinds: []Kind{{"k8", 8, 16384}},
+	return Settings{Seed: 1, CoordinatorCount: 1, Zone: "a", MaxAttempts: 4, CanCancel: true, CanAdviseRetry: true,
+		MaxRetryAfter: 1000,
+		Kinds:         []Kind{{"k8", 8, 16384}},
 		Classes: []Class{
 			{Name: "quick", Value: 1, LatencyTarget: 400, ClientTimeout: 2000, Threads: 1},
 			{Name: "wide", Value: 8, LatencyTarget: 3000, TargetStretch: 2, ClientTimeout: 25000, Threads: 3},
-			{Name: "load", Value: 5, LatencyTarget: 4000, ClientTimeout: 20000, Threads: 2, Idempotency: AtMostOnce, InOrder: true, IsLoad: true},
-			{Name: "keyed", Value: 1, LatencyTarget: 4000, ClientTimeout: 20000, Threads: 1, Idempotency: Deduplicated, DedupScope: DedupInCell, DedupWindow: 5000},
-			{Name: "tied", Value: 1, LatencyTarget: 4000, ClientTimeout: 20000, Threads: 1, Zones: []string{"b"}, Kinds: []string{"k8"}},
+			{Name: "load", Value: 5, LatencyTarget: 4000, ClientTimeout: 20000, Threads: 2, Idempotency: AtMostOnce,
+				InOrder: true, IsLoad: true},
+			{Name: "keyed", Value: 1, LatencyTarget: 4000, ClientTimeout: 20000, Threads: 1, Idempotency: Deduplicated,
+				DedupScope: DedupInCell, DedupWindow: 5000},
+			{Name: "tied", Value: 1, LatencyTarget: 4000, ClientTimeout: 20000, Threads: 1, Zones: []string{"b"},
+				Kinds: []string{"k8"}},
 		},
-		DrainGrace: 250, OverloadMultiple: 3, OverloadWindow: 1500, ColdCapacityShare: 0.35, WarmUpTime: 12000, SubscribePeriod: 10000}
+		DrainGrace: 250, OverloadMultiple: 3, OverloadWindow: 1500, ColdCapacityShare: 0.35, WarmUpTime: 12000,
+		SubscribePeriod: 10000}
 }
 
 // newHarness returns a harness whose scheduler knows the given engines.
@@ -34,7 +39,7 @@
 	return h
 }
 
-// testEngine returns a listed engine with 8 cores in the coordinator's zone.
+// testEngine returns a healthy engine with 8 cores in the coordinator's zone.
 func testEngine(id string) Engine { return Engine{ID: id, Zone: "a", Kind: "k8", Size: 1} }
 
 // step advances the time by elapsed ms, then passes the events to the scheduler.
@@ -77,7 +82,7 @@
 	return answers
 }
 
-// requireOneSend fails the test unless exactly one of the actions is a send, and returns it.
+// requireOneSend returns the send among the actions, and fails the test unless there is exactly one.
 func (h *harness) requireOneSend(actions []Action) Send {
 	h.t.Helper()
 	list := sendActions(actions)
--- a/choice/health_test.go
+++ b/choice/health_test.go
@@ -4,9 +4,9 @@
 	"testing"
 )
 
-// An engine that stops answering keeps its good latency figures, and would keep its attempts. These must be cancelled, and
-// their requests sent to another engine.
-func TestUnresponsiveEngineLosesItsWork(t *testing.T) {
+// An engine that stops answering keeps its low predicted latency, so its attempts would never be moved. They must be
+// cancelled, and their requests sent to another engine.
+func TestAttemptOnUnresponsiveEngineIsMoved(t *testing.T) {
 	h := newHarness(t, testSettings(), testEngine("e1"), testEngine("e2"))
 	silent := h.requireOneSend(h.step(1, testRequest("a", "quick", h))).Engine
 	cancelled := false
@@ -24,8 +24,8 @@
 	}
 }
 
-// An attempt may be lost while its engine goes on with others, so the engine looks healthy. The attempt's missing progress
-// notices must show the loss.
+// An attempt may be lost while its engine runs others, so that the engine looks healthy. The attempt's missing progress
+// notices must show the loss, and it must be cancelled.
 func TestLostAttemptIsMoved(t *testing.T) {
 	s := testSettings()
 	s.NoticePeriod = 500
@@ -44,8 +44,8 @@
 	t.Fatal("lost attempt not cancelled within 2,000 ms")
 }
 
-// A query with a bad plan runs many times longer than predicted. Its progress shows this early, and it is cancelled for a
-// fresh start.
+// A query with a bad plan runs many times longer than predicted. Its progress shows this early, and it must be cancelled so
+// that it can be restarted.
 func TestAttemptWithBadPlanIsRestarted(t *testing.T) {
 	s := testSettings()
 	s.NoticePeriod = 500
@@ -57,8 +57,8 @@
 	}
 }
 
-// After a failed connection an engine is paused; then a single attempt tries it. All waiting requests at once would fail
-// together if it is still down.
+// After a failed connection an engine is paused, and then tried with a single attempt. If all waiting requests were sent at
+// once, all would fail if the engine is still down.
 func TestFailedEngineIsPausedThenTriedOnce(t *testing.T) {
 	h := newHarness(t, testSettings(), testEngine("e1"))
 	h.step(1, testRequest("a", "load", h))
@@ -69,7 +69,7 @@
 	}
 }
 
-// A poor network link resets an attempt now and then. A single reset must neither pause the engine nor make it count as
+// A poor network link occasionally resets a connection. A single reset must neither pause the engine nor make it count as
 // restarted and cold.
 func TestSingleResetDoesNotPauseEngine(t *testing.T) {
 	h := newHarness(t, testSettings(), testEngine("e1"))
@@ -86,17 +86,18 @@
 // An engine whose attempts all fail fast looks idle and would attract all traffic. It must be paused after three failures in
 // a row.
 func TestFastFailingEngineIsPaused(t *testing.T) {
-	for _, res := range []Result{Error, Reset} {
+	for _, result := range []Result{Error, Reset} {
 		h := newHarness(t, testSettings(), testEngine("e1"))
 		h.step(1, testRequest("a", "quick", h), testRequest("b", "quick", h), testRequest("c", "quick", h))
-		actions := h.step(1, Outcome{Request: "a", Engine: "e1", Result: res}, Outcome{Request: "b", Engine: "e1", Result: res},
-			Outcome{Request: "c", Engine: "e1", Result: res})
+		actions := h.step(1, Outcome{Request: "a", Engine: "e1", Result: result},
+			Outcome{Request: "b", Engine: "e1", Result: result},
+			Outcome{Request: "c", Engine: "e1", Result: result})
 		h.requireNoSend(actions)
 	}
 }
 
-// Queries of some classes take long without a bad plan. Once fresh starts of a class have saved nothing, its slow attempts
-// must not be restarted.
+// Queries of some classes take long without a bad plan. Once restarts have saved no time in a class, its slow attempts must
+// not be restarted.
 func TestHeavyClassIsNotRestarted(t *testing.T) {
 	s := testSettings()
 	s.NoticePeriod = 500
@@ -106,13 +107,13 @@
 	got := h.requireOneSend(h.step(1, testRequest("a", "wide", h)))
 	for _, a := range h.step(500, Notice{"a", 0, got.Engine, NoticeProgress, 0.05}, Timer{"check"}) {
 		if _, ok := a.(Cancel); ok {
-			t.Fatal("restarted though fresh starts of the class save nothing")
+			t.Fatal("restarted although restarts save no time in its class")
 		}
 	}
 }
 
 // A request that is itself at fault fails on every engine, and could pause the whole fleet. It must be failed after three
-// engines, and none of them blamed.
+// engines, and must not count against any of them.
 func TestRequestFailingOnThreeEnginesIsFailed(t *testing.T) {
 	h := newHarness(t, testSettings(), testEngine("e1"), testEngine("e2"), testEngine("e3"), testEngine("e4"))
 	for _, id := range []string{"a", "b", "c", "d", "f"} {
@@ -131,13 +132,13 @@
 	}
 	for _, e := range h.scheduler.engines {
 		if e.errorsInRow > 0 || e.failures > 0 {
-			t.Errorf("%s is blamed: %d errors, %d fails, want 0", e.ID, e.errorsInRow, e.failures)
+			t.Errorf("%s: %d errors in a row and %d failures count against it, want 0", e.ID, e.errorsInRow, e.failures)
 		}
 	}
 }
 
-// An engine that rejects one class as full and serves another is paused for the first class only. After the pause one attempt
-// of that class tries it, and a good answer ends the pause.
+// An engine that rejects queries of one class as full and serves another class is paused for the first class only. After the
+// pause one attempt of that class tries it, and a successful answer ends the pause.
 func TestEngineUnhealthyForOneClassServesOthers(t *testing.T) {
 	h := newHarness(t, testSettings(), testEngine("e1"))
 	h.step(1, testRequest("ok", "quick", h))
@@ -154,12 +155,12 @@
 	n := h.scheduler.requests[got[0].Request].sendCount - 1
 	actions := h.step(1, Outcome{Request: got[0].Request, Attempt: n, Engine: "e1", Result: OK, Duration: 1, RequestEnded: true})
 	if actions = append(actions, h.step(60, Timer{"check"}, testRequest("w3", "wide", h))...); len(sendActions(actions)) != 2 {
-		t.Fatal("class not sent to the engine again after a good answer")
+		t.Fatal("class not sent to the engine again after a successful answer")
 	}
 }
 
 // A request that an engine rejects as invalid would be rejected everywhere. It must be failed at once, neither sent to
-// another engine nor refused, and no engine blamed.
+// another engine nor refused, and must not count against the engine.
 func TestRejectedRequestFailsAtOnce(t *testing.T) {
 	for _, class := range []string{"quick", "keyed", "load"} {
 		h := newHarness(t, testSettings(), testEngine("e1"), testEngine("e2"))
@@ -170,7 +171,7 @@
 		}
 		e := h.scheduler.engineByID[s.Engine]
 		if e.errorsInRow > 0 || e.failures > 0 || e.pausedUntil > 0 || len(h.scheduler.requests) > 0 {
-			t.Errorf("%s: engine is blamed or request kept: %d errors, %d fails", class, e.errorsInRow, e.failures)
+			t.Errorf("%s: counted against the engine, or request kept: %d errors, %d failures", class, e.errorsInRow, e.failures)
 		}
 	}
 }
--- a/choice/hold_test.go
+++ b/choice/hold_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// A query is held for its warm engine while that has no room, and sent there as soon as it has.
-func TestHoldsForWarmEngine(t *testing.T) {
+// A query is held for its warm engine while that engine has no room, and sent there as soon as it has.
+func TestQueryIsHeldForWarmEngine(t *testing.T) {
 	s := testSettings()
 	s.Kinds[0].Cores = 1 // room for two threads
 	h := newHarness(t, s, testEngine("e1"), testEngine("e2"))
@@ -40,8 +40,8 @@
 	}
 }
 
-// A warm engine is preferred only if it promises less than 0.8 of the best fallback's time; else the fallback gets the
-// query at once.
+// A warm engine is preferred only if its predicted time is less than 0.8 of the best fallback's; else the query is sent to
+// the fallback at once.
 func TestFallbackTakenUnlessWarmIsClearlyFaster(t *testing.T) {
 	for _, c := range []struct {
 		warm float64
@@ -55,7 +55,8 @@
 	}
 }
 
-// A held query goes to the best fallback once waiting longer would cost its deadline or more time than the warm engine saves.
+// A held query is sent to the best fallback once a longer wait would miss its deadline or cost more time than the warm
+// engine saves.
 func TestHeldQueryIsReleasedToFallback(t *testing.T) {
 	s := testSettings()
 	s.Kinds[0].Cores = 1
@@ -65,7 +66,7 @@
 	h.step(1, testRequest("b", "quick", h))
 	h.requireNoSend(h.step(1, testRequest("c", "quick", h)))
 	for i := 0; i < 30; i++ {
-		// A progress notice shows that the engine is alive, only busy.
+		// The progress notice shows that the engine is alive and only busy.
 		if got := sendActions(h.step(50, Timer{"check"}, Notice{"a", 0, "e1", NoticeProgress, 0.1})); len(got) > 0 {
 			if got[0].Request != "c" || got[0].Engine != "e2" {
 				t.Fatalf("released as %v, want c to e2", got[0])
@@ -76,8 +77,8 @@
 	t.Fatal("still held after 1,500 ms")
 }
 
-// A reported load and the coordinator's own attempts on an engine raise the predicted latency. Estimates that cannot be
-// true (zero, negative, not finite, huge) leave it at the class's mean.
+// A reported load and the coordinator's own attempts on an engine raise the predicted latency. Implausible estimates of work
+// (zero, negative, not finite, huge) are ignored, and the mean work of the class counts.
 func TestPredictionFollowsLoadAndIgnoresBadEstimates(t *testing.T) {
 	h := newHarness(t, testSettings(), testEngine("e1"), testEngine("e2"))
 	e, q := h.scheduler.engines[0], &request{Request: Request{TableGroup: "7"}, class: h.scheduler.classes["quick"]}
@@ -93,13 +94,13 @@
 	for _, w := range []float64{0, -5, math.NaN(), math.Inf(1), 1e300} {
 		q.Work = w
 		if p := h.scheduler.predictLatency(e, q, false); p != own {
-			t.Errorf("estimate %v: predicted %v, want %v as for the class's mean", w, p, own)
+			t.Errorf("estimate %v: predicted %v, want %v as with the class's mean work", w, p, own)
 		}
 	}
 }
 
-// With many requests held, each step looks at only some of them. A request with hardly any time left must still be
-// answered in the step in which it arrives, or its client gets no answer in time.
+// With many requests held, each step decides on only some of them. A request that arrives just before its deadline must still
+// be answered in the step in which it arrives, or its client gets no answer in time.
 func TestRequestNearDeadlineIsAnsweredAtOnce(t *testing.T) {
 	h := newHarness(t, testSettings())
 	for i := 0; i < 3*maxHeldChecked; i++ {
@@ -112,9 +113,9 @@
 	}
 }
 
-// Progress notices come at a fixed period, spill notices do not. If a spill notice counted as progress, an attempt whose
-// next notice comes 1.5 periods later would be taken for lost.
-func TestSpillNoticeIsNotTakenForProgress(t *testing.T) {
+// Progress notices are sent at a fixed period, spill notices are not. If a spill notice counted as progress, an attempt whose
+// next notice is sent 1.5 periods later would count as lost.
+func TestSpillNoticeDoesNotCountAsProgress(t *testing.T) {
 	s := testSettings()
 	s.NoticePeriod = 1000
 	h := newHarness(t, s, testEngine("e1"))
@@ -129,8 +130,8 @@
 	}
 }
 
-// An overloaded engine, or one short of memory, answers far slower than under light load while its reports may look idle.
-// Its room must shrink, or it is sent more than it can serve.
+// An engine that is overloaded or short of memory answers far slower than under light load, while its reports may show it as
+// idle. Its room must shrink, or it is sent more than it can serve.
 func TestSlowAnswersShrinkRoom(t *testing.T) {
 	h := newHarness(t, testSettings(), testEngine("e1"))
 	e, q := h.scheduler.engineFor(testEngine("e1")), &request{class: h.scheduler.classes["quick"]}
@@ -153,17 +154,17 @@
 	e, q := h.scheduler.engines[0], &request{class: h.scheduler.classes["wide"]}
 	h.scheduler.now, e.threadsOut = h.now, 3
 	if h.scheduler.hasRoom(e, q) {
-		t.Fatal("share exceeded by a whole query though no report shows an idle engine")
+		t.Fatal("share exceeded by a whole query although no report shows an idle engine")
 	}
 	e.reportedLoad, e.reportedAt = 0.2, h.now
 	if !h.scheduler.hasRoom(e, q) {
-		t.Fatal("no room though the engine is reported idle")
+		t.Fatal("no room although the engine is reported as idle")
 	}
 }
 
-// Under overload, a request that finds no room and can no longer meet its latency target is refused at once, with advice
-// when to come back.
-func TestEarlyRefusal(t *testing.T) {
+// Under overload, a request that finds no room and can no longer meet its latency target is refused at once, with the advice
+// when to try again.
+func TestRequestWithoutRoomIsRefusedEarly(t *testing.T) {
 	s := testSettings()
 	s.Kinds[0].Cores = 1
 	h := newHarness(t, s, testEngine("e1"))
@@ -179,7 +180,7 @@
 }
 
 // If a class's memory estimates are too low, each query spills and the extra work fills the disks. Grants must grow with
-// the reported spills, up to the need and not far past it.
+// the reported spills, up to the need and not far beyond it.
 func TestGrantsFollowSpills(t *testing.T) {
 	s := testSettings()
 	s.GrantsHonored, s.NoticePeriod = true, 500
@@ -206,9 +207,9 @@
 	}
 }
 
-// Where clients wait for 145 ms at most, a query with 100 ms left must still be sent, and held queries must be checked often
+// If clients wait for 145 ms at most, a query with 100 ms left must still be sent, and held queries must be checked often
 // enough to be answered before their deadline.
-func TestShortDeadlines(t *testing.T) {
+func TestShortClientTimeoutsAreKept(t *testing.T) {
 	scheduler := New(Settings{CoordinatorCount: 1, MaxAttempts: 6,
 		Classes: []Class{{Name: "lookup", Value: 1, LatencyTarget: 30, ClientTimeout: 145, Threads: 1}}}, 1000)
 	scheduler.Step(1000, []Event{EngineList{Complete: true, Engines: []Engine{{ID: "e1"}}}})
@@ -225,7 +226,7 @@
 	t.Error("a held query had no answer before its deadline")
 }
 
-// A request that finds no room is held if an answer after its latency target still has value, and refused if not.
+// A request that finds no room is held if an answer after its latency target still has value, and otherwise refused.
 func TestLateValueDecidesBetweenHoldAndRefusal(t *testing.T) {
 	for _, lateValue := range []float64{0, 0.3} {
 		s := testSettings()
@@ -239,8 +240,8 @@
 	}
 }
 
-// The error of clients' estimates is learned by class. That correction must neither be applied to an estimate that the
-// coordinator learned itself, nor be changed by it.
+// The scheduler learns a correction of clients' estimates for each class. It must neither be applied to an estimate that the
+// coordinator itself has learned, nor be changed by it.
 func TestLearnedEstimateIsNotCorrected(t *testing.T) {
 	h := newHarness(t, testSettings(), testEngine("e1"))
 	for i := range 300 {
--- a/choice/lifecycle_test.go
+++ b/choice/lifecycle_test.go
@@ -6,43 +6,45 @@
 	"testing"
 )
 
-// A subscription to the engine list that breaks must be repeated soon, or the scheduler works with an old list; but with
-// growing pauses, or a failing discovery service is flooded.
+// A subscription to the engine list that breaks must be renewed soon, or the scheduler works with an old list. The pauses
+// must grow, or a failing discovery service is flooded with subscriptions.
 func TestBrokenSubscriptionIsRepeated(t *testing.T) {
 	s := testSettings()
 	s.MustSubscribe = true
 	h := newHarness(t, s)
-	asks := 0
+	subscriptions := 0
 	for i := 0; i < 100; i++ {
 		var events []Event
 		for _, a := range h.step(100, Timer{"check"}) {
 			if _, ok := a.(Subscribe); ok {
-				asks++
+				subscriptions++
 				events = append(events, EngineList{Failed: true})
 			}
 		}
 		h.step(0, events...)
 	}
-	if asks < 4 || asks > 30 {
-		t.Fatalf("subscribed %d times in 10 s, want 4 to 30", asks)
+	if subscriptions < 4 || subscriptions > 30 {
+		t.Fatalf("subscribed %d times in 10 s, want 4 to 30", subscriptions)
 	}
 }
 
 // Events about ended or unknown requests, engines and timers may arrive late. They must cause no action, and not disturb
 // requests that are open.
-func TestUnknownEventsAreHarmless(t *testing.T) {
+func TestEventsOfUnknownRequestsAndEnginesAreIgnored(t *testing.T) {
 	h := newHarness(t, testSettings(), testEngine("e1"))
 	actions := h.step(1, Outcome{Request: "no", Engine: "e9", Result: OK}, ClientGone{"no"}, Timer{"old"}, Notice{Request: "no"},
-		ProbeResult{Engine: "e9", Result: OK}, EngineList{Failed: true}, Request{ID: "u", Class: "unheard", Deadline: h.now + 900})
+		ProbeResult{Engine: "e9", Result: OK}, EngineList{Failed: true},
+		Request{ID: "u", Class: "unheard", Deadline: h.now + 900})
 	if got := h.requireOneSend(actions); got.Request != "u" {
 		t.Fatal(got)
 	}
-	if len(h.step(1, Outcome{Request: "u", Engine: "e1", Result: OK, RequestEnded: true, Work: math.Inf(1)}, ClientGone{"u"})) > 1 {
-		t.Fatal("acts on events of an ended request")
+	if len(h.step(1, Outcome{Request: "u", Engine: "e1", Result: OK, RequestEnded: true, Work: math.Inf(1)},
+		ClientGone{"u"})) > 1 {
+		t.Fatal("an event of an ended request caused an action")
 	}
 }
 
-// When a client disconnects, its query must be cancelled on the engine, or the engine works for nobody.
+// When a client disconnects, its query must be cancelled, or the engine works on an answer that nobody receives.
 func TestClientGoneCancelsAttempt(t *testing.T) {
 	scheduler := New(testSettings(), 0)
 	scheduler.Step(0, []Event{EngineList{Complete: true, Engines: []Engine{{ID: "e0", Zone: "a", Kind: "k8"}}}})
@@ -52,11 +54,11 @@
 			return
 		}
 	}
-	t.Error("attempt not cancelled after its client has gone")
+	t.Error("attempt not cancelled after its client disconnected")
 }
 
-// The final answer must come in the step in which a request ends without success. A request that stays open past that point
-// keeps its client waiting for nothing.
+// The final answer must be given in the step in which it is certain that a request will not succeed. If the request stayed
+// open, its client would wait in vain.
 func TestFinalAnswerComesAtOnce(t *testing.T) {
 	answer := func(actions []Action) Action {
 		for _, a := range actions {
@@ -76,7 +78,7 @@
 			if a, ok := answer(scheduler.Step(1, []Event{
 				Request{ID: fmt.Sprint("w", i), Class: "quick", Deadline: 2000}})).(Refuse); ok {
 				if refused++; a.RetryAfter <= 0 {
-					t.Errorf("refused with no advice when to come back: %v", a)
+					t.Errorf("refused without advice when to try again: %v", a)
 				}
 			}
 		}
@@ -115,7 +117,8 @@
 		scheduler := New(testSettings(), 0)
 		scheduler.Step(0, []Event{list})
 		scheduler.Step(1, []Event{Request{ID: "q", Class: "load", Deadline: 20000}})
-		if _, ok := answer(scheduler.Step(5, []Event{Outcome{Request: "q", Engine: "e0", Result: Reset, Duration: 4}})).(Fail); !ok {
+		if _, ok := answer(scheduler.Step(5, []Event{
+			Outcome{Request: "q", Engine: "e0", Result: Reset, Duration: 4}})).(Fail); !ok {
 			t.Error("a load whose attempt was reset is not failed at once")
 		}
 	})
@@ -149,8 +152,9 @@
 	for i := 0; i < 3; i++ {
 		h.step(40000, Timer{"check"})
 	}
-	if f := h.scheduler; len(f.orderKeys)+len(f.tableGroups)+len(f.requests) > 0 || len(f.engines) != 1 || len(f.engines[0].tableGroupSentAt) > 0 {
+	if scheduler := h.scheduler; len(scheduler.orderKeys)+len(scheduler.tableGroups)+len(scheduler.requests) > 0 ||
+		len(scheduler.engines) != 1 || len(scheduler.engines[0].tableGroupSentAt) > 0 {
 		t.Errorf("still kept: %d keys, %d table groups, %d requests, %d engines",
-			len(f.orderKeys), len(f.tableGroups), len(f.requests), len(f.engines))
+			len(scheduler.orderKeys), len(scheduler.tableGroups), len(scheduler.requests), len(scheduler.engines))
 	}
 }
--- a/choice/peers.go
+++ b/choice/peers.go
@@ -5,8 +5,8 @@
 	"math"
 )
 
-// A peer message is a sequence of items of peerItemBytes each, every one about one engine: a kind, the lower half of the
-// hash of the engine's id, and three numbers of one byte. The steps are the units of these numbers.
+// A peer message is a sequence of items of peerItemBytes each. An item is about one engine and consists of a kind, the
+// lower half of the hash of the engine's ID, and three numbers of one byte each, in units of the steps below.
 const (
 	peerItemReport = 0 // load, share of memory in use, age of the report
 	peerItemSend   = 1 // threads of a query sent there, its expected run time, unused
@@ -25,10 +25,11 @@
 	return data
 }
 
-// decodePeerItems calls heard for each item about a known engine, and skips malformed and unknown items.
-func (f *Scheduler) decodePeerItems(data []byte, handle func(kind byte, e *engine, a, b, c float64)) {
+// decodePeerItems calls handle for each item about a known engine, and skips items about other engines and an incomplete
+// item at the end.
+func (s *Scheduler) decodePeerItems(data []byte, handle func(kind byte, e *engine, a, b, c float64)) {
 	for ; len(data) >= peerItemBytes; data = data[peerItemBytes:] {
-		if e := f.engineByHash[binary.BigEndian.Uint32(data[1:])]; e != nil {
+		if e := s.engineByHash[binary.BigEndian.Uint32(data[1:])]; e != nil {
 			handle(data[0], e, float64(data[5]), float64(data[6]), float64(data[7]))
 		}
 	}
@@ -37,21 +38,21 @@
 // recentSend is a query that this coordinator or a peer sent to an engine.
 type recentSend struct{ sentAt, threads, expectedRun float64 }
 
-// sendToPeers sends an item about an engine to the coordinators that prefer this engine. It sends no more than one full
-// message per request that has arrived.
-func (f *Scheduler) sendToPeers(e *engine, data []byte) {
-	engines := len(f.ring)
-	if !f.settings.CanSendToPeers || !f.manyPeers || !e.listed || f.meanReportedLoad < lowLoad ||
-		f.peerMessagesSent >= f.totalRequests {
+// sendToPeers sends an item about an engine to the other coordinators that prefer this engine. In total it sends at most
+// about one message of full length per request received.
+func (s *Scheduler) sendToPeers(e *engine, data []byte) {
+	engines := len(s.ring)
+	if !s.settings.CanSendToPeers || !s.manyPeers || !e.listed || s.meanReportedLoad < lowLoad ||
+		s.peerMessagesSent >= s.totalRequests {
 		return
 	}
-	for i := 0; i < min(f.preferredCount(), engines); i++ {
+	for i := 0; i < min(s.preferredCount(), engines); i++ {
 		firstIndex := (e.ringIndex - i + engines) % engines
-		peer := int(math.Ceil(float64(firstIndex) * f.coordinators / float64(engines)))
-		for ; peer < f.settings.CoordinatorCount && f.firstPreferredIndex(peer) == firstIndex; peer++ {
-			if peer != f.settings.CoordinatorIndex {
-				f.peerMessagesSent += float64(len(data)) / float64(max(f.settings.MaxPeerMessageBytes, 1))
-				f.emit(SendToPeer{peer, data})
+		peer := int(math.Ceil(float64(firstIndex) * s.coordinators / float64(engines)))
+		for ; peer < s.settings.CoordinatorCount && s.firstPreferredIndex(peer) == firstIndex; peer++ {
+			if peer != s.settings.CoordinatorIndex {
+				s.peerMessagesSent += float64(len(data)) / float64(max(s.settings.MaxPeerMessageBytes, 1))
+				s.emit(SendToPeer{peer, data})
 			}
 		}
 	}
--- a/choice/random_test.go
+++ b/choice/random_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// TestRandomEventsKeepRules plays random legal events with fixed seeds, checks every action against the rules, and
-// checks that two runs with the same seed give the same actions.
+// TestRandomEventsKeepRules passes random valid events to a scheduler, with fixed seeds. It checks every action against the
+// rules, and that two runs with the same seed give the same actions.
 func TestRandomEventsKeepRules(t *testing.T) {
 	for seed := int64(1); seed <= 40; seed++ {
 		a, b := runRandomEvents(t, seed), runRandomEvents(t, seed)
@@ -19,7 +19,7 @@
 	}
 }
 
-// runRandomEvents plays one run, fails the test at the first action that breaks a rule, and returns all actions.
+// runRandomEvents does one run, fails the test at the first action that breaks a rule, and returns all actions.
 func runRandomEvents(t *testing.T, seed int64) []Action {
 	rng := rand.New(rand.NewSource(seed))
 	s := testSettings()
@@ -44,12 +44,12 @@
 		mayRunSince float64
 		mayRunOn    string
 	}
-	requests, keyRestsUntil := map[string]*requestState{}, map[string]float64{}
+	requests, keySettlesAt := map[string]*requestState{}, map[string]float64{}
 	var arrivals []*requestState
 	var attemptsOut []sentAttempt
 	engines := map[string]Engine{}
 	var allActions []Action
-	var furtherSends, requestsTaken []float64
+	var retries, arrivalTimes []float64
 	for turn := 0; turn < 700; turn++ {
 		h.now += float64(rng.Intn(30))
 		var events []Event
@@ -76,7 +76,7 @@
 				}
 				requests[q.ID] = q
 				arrivals = append(arrivals, q)
-				requestsTaken = append(requestsTaken, h.now)
+				arrivalTimes = append(arrivalTimes, h.now)
 				events = append(events, q.Request)
 			}
 		}
@@ -100,7 +100,7 @@
 				q.mayHaveRun, q.mayRunSince, q.mayRunOn = true, o.sentAt, o.engine
 			}
 			if q.OrderKey != "" && (result == Timeout || result == Reset || result == Cancelled) {
-				keyRestsUntil[q.OrderKey] = math.Max(keyRestsUntil[q.OrderKey], h.now+s.OrderSettleTime)
+				keySettlesAt[q.OrderKey] = math.Max(keySettlesAt[q.OrderKey], h.now+s.OrderSettleTime)
 			}
 			q.finished = q.finished || result == OK
 			events = append(events, Outcome{Request: o.id, Attempt: o.number, Engine: o.engine, Result: result,
@@ -120,12 +120,12 @@
 				case e.Status != Healthy:
 					violation("sent to an engine that is draining or removed")
 				case q.attemptsOut > 0 && !s.ParallelAttempts:
-					violation("second attempt while one is out")
+					violation("second attempt while one is open")
 				case q.mayHaveRun && q.class.Idempotency == AtMostOnce:
-					violation("unsafe request repeated")
+					violation("at-most-once request repeated")
 				case q.mayHaveRun && q.class.Idempotency == Deduplicated &&
 					(engines[q.mayRunOn].Cell != e.Cell || h.now > q.mayRunSince+q.class.DedupWindow):
-					violation("keyed request repeated outside its cell or window")
+					violation("deduplicated request repeated outside its cell or window")
 				case len(q.class.Zones) > 0 && e.Zone != "b":
 					violation("sent to a zone that its class does not allow")
 				case q.sends >= s.MaxAttempts:
@@ -140,14 +140,15 @@
 							violation("sent before an earlier request of its order key ended")
 						}
 					}
-					if h.now < keyRestsUntil[q.OrderKey] {
-						violation("sent while its order key rests")
+					if h.now < keySettlesAt[q.OrderKey] {
+						violation("sent before its order key had settled")
 					}
 				}
 				if q.sends > 0 {
-					furtherSends = append(furtherSends, h.now)
-					if k := countSince(furtherSends, h.now-5000); s.HasRetryRation && k > 2+0.1*countSince(requestsTaken, h.now-5000) {
-						violation("more further attempts than the retry ration allows")
+					retries = append(retries, h.now)
+					if k := countSince(retries, h.now-5000); s.HasRetryRation &&
+						k > 2+0.1*countSince(arrivalTimes, h.now-5000) {
+						violation("more retries than the retry ration allows")
 					}
 				}
 				q.attemptsOut++
@@ -183,7 +184,7 @@
 	return allActions
 }
 
-// countSince counts the times that are later than from.
+// countSince counts the points in time that are later than from.
 func countSince(at []float64, from float64) (n float64) {
 	for _, x := range at {
 		if x > from {
--- a/choice/reason.go
+++ b/choice/reason.go
@@ -10,11 +10,12 @@
 	ReasonMayHaveRun               // it may have run and must not be sent again
 	ReasonFaulty                   // an engine rejected it, or it failed on several engines
 	ReasonCapacity                 // no engine has room for it in time
-	ReasonSlots                    // its slot is worth more to other requests
+	ReasonSlots                    // other requests would serve more value in its slot
 	ReasonShutdown                 // the coordinator shuts down
 	reasonCount
 )
 
+// reasonNames are the names in logs and metrics, in the order of the constants.
 var reasonNames = [reasonCount]string{"deadline", "attempts", "may-have-run", "faulty", "capacity", "places", "shutdown"}
 
 // String returns the name of the reason in logs and metrics.
--- a/choice/recovery_test.go
+++ b/choice/recovery_test.go
@@ -7,8 +7,9 @@
 	"testing"
 )
 
-// recoverySim simulates, in virtual time, coordinators that share only the engines; engines that divide their cores among
-// their attempts and are cold after a start; and clients that try again after a refusal, some when advised, others at once.
+// recoverySim simulates, in virtual time, coordinators that share only the engines, engines that divide their cores among
+// their attempts and are cold after a start, and clients that try again after a refusal, some after the advised pause and
+// others at once.
 type recoverySim struct {
 	rng          *rand.Rand
 	now          float64
@@ -18,27 +19,27 @@
 	tries        map[string]*simTry
 	pending      []simTask
 	lastID       int
-	followAdvice float64   // share of clients that follow come-back advice
+	followAdvice float64   // share of clients that follow the retry advice
 	valueServed  []float64 // value served within the client timeout, by the second of the first try
 	valueAsked   []float64 // value of first tries, by second
-	coldOverruns int       // times that a cold engine's work exceeded its budget
+	coldOverruns int       // number of times that the work sent to a cold engine exceeded its budget
 	refused      int
 	adviceSum    float64
 }
 
-// simTask is a function to run at a time.
+// simTask is a function that runs at a point in time.
 type simTask struct {
 	at  float64
 	run func()
 }
 
-// simEngine is a simulated engine; its attempts include those cancelled in this step.
+// simEngine is a simulated engine. Its attempts include those that were cancelled in this step.
 type simEngine struct {
 	Engine
 	down       bool
 	attempts   []*simAttempt
-	sentWork   []float64 // work sent per step, a ring over the last 3,000 ms
-	bucket     int       // of sentWork, for the current step
+	sentWork   []float64 // work sent per step, a ring buffer over the last 3,000 ms
+	bucket     int       // index in sentWork of the current step
 	overBudget bool
 }
 
@@ -71,14 +72,17 @@
 	simCores  = 12.0 // per engine
 )
 
-// simSettings are the settings of each coordinator, except its number and seed.
+// simSettings returns the settings of each coordinator, except its number and seed.
 func simSettings(coordinators int) Settings {
-	return Settings{Zone: "a", CoordinatorCount: coordinators, MaxAttempts: 6, CanCancel: true, CanAdviseRetry: true, MaxRetryAfter: 2000,
-		AnswersCarryCost: true, MaxOpenRequests: 400, Kinds: []Kind{{"k12", simCores, 24576}},
+	return Settings{Zone: "a", CoordinatorCount: coordinators, MaxAttempts: 6, CanCancel: true, CanAdviseRetry: true,
+		MaxRetryAfter: 2000, AnswersCarryCost: true, MaxOpenRequests: 400, Kinds: []Kind{{"k12", simCores, 24576}},
 		Classes: []Class{
-			{Name: "lookup", Value: 1, LateValueShare: 0.1, LatencyTarget: 600, TargetStretch: 2, ClientTimeout: 3000, Threads: 1, WaitsForLoads: true},
-			{Name: "report", Value: 12, LateValueShare: 0.3, LatencyTarget: 1500, TargetStretch: 2.5, ClientTimeout: 20000, Threads: 3, WaitsForLoads: true}},
-		DrainGrace: 2000, OverloadMultiple: 2.5, OverloadWindow: 3000, ColdCapacityShare: 0.34, WarmUpTime: 14000, SubscribePeriod: 10000, OrderSettleTime: 500}
+			{Name: "lookup", Value: 1, LateValueShare: 0.1, LatencyTarget: 600, TargetStretch: 2, ClientTimeout: 3000,
+				Threads: 1, WaitsForLoads: true},
+			{Name: "report", Value: 12, LateValueShare: 0.3, LatencyTarget: 1500, TargetStretch: 2.5, ClientTimeout: 20000,
+				Threads: 3, WaitsForLoads: true}},
+		DrainGrace: 2000, OverloadMultiple: 2.5, OverloadWindow: 3000, ColdCapacityShare: 0.34, WarmUpTime: 14000,
+		SubscribePeriod: 10000, OrderSettleTime: 500}
 }
 
 // newRecoverySim returns a simulation in which all engines are warm and listed.
@@ -117,7 +121,7 @@
 	return simCores * math.Min(0.34+0.66*(sim.now-e.StartedAt)/14000, 1)
 }
 
-// submit sends a try to its coordinator, and makes the client give up at the deadline.
+// submit sends a try to its coordinator, and schedules its end at the deadline.
 func (sim *recoverySim) submit(try simTry) {
 	sim.lastID++
 	id := fmt.Sprint("q", sim.lastID)
@@ -130,8 +134,8 @@
 }
 
 // schedule runs a function after some time.
-func (sim *recoverySim) schedule(delay float64, do func()) {
-	sim.pending = append(sim.pending, simTask{sim.now + delay, do})
+func (sim *recoverySim) schedule(delay float64, run func()) {
+	sim.pending = append(sim.pending, simTask{sim.now + delay, run})
 }
 
 // abandon ends a try whose client gives up waiting.
@@ -143,7 +147,7 @@
 	}
 }
 
-// retry schedules the next try of a client that was not served, up to two after the first.
+// retry schedules the next try of a client that was not served. A client makes at most two further tries.
 func (sim *recoverySim) retry(try *simTry, advice float64) {
 	if try.repeat >= 2 {
 		return
@@ -172,7 +176,7 @@
 		outcome.Work, outcome.Report = attempt.work, Report{Busy: threads / simCores, HasBusy: true}
 		if try != nil && !try.done {
 			try.done, outcome.RequestEnded = true, true
-			c := sim.schedulers[try.coordinator].settings.Classes[try.class] // time counts from the first try, as for the client
+			c := sim.schedulers[try.coordinator].settings.Classes[try.class] // the client counts from its first try
 			switch took := sim.now - try.firstTryAt; {
 			case took <= c.LatencyTarget+c.TargetStretch*try.work/c.Threads:
 				sim.addToSecond(&sim.valueServed, try.firstTryAt, c.Value)
@@ -187,7 +191,7 @@
 	sim.events[attempt.coordinator] = append(sim.events[attempt.coordinator], outcome)
 }
 
-// addToSecond adds a value to the sum of the second that a time is in.
+// addToSecond adds a value to the sum of the second that contains a point in time.
 func (sim *recoverySim) addToSecond(sums *[]float64, at, value float64) {
 	second := int((at - 1e6) / 1000)
 	for len(*sums) <= second {
@@ -245,7 +249,7 @@
 	}
 }
 
-// run simulates until a time in ms after the start, with first tries that need so many cores on average.
+// run simulates until a time in ms after the start, with first tries whose work keeps meanCores cores busy on average.
 func (sim *recoverySim) run(until, meanCores float64) {
 	const lookupWork, reportWork = 150.0, 4000.0 // mean work, ms
 	arrivalsPerMs := meanCores / (0.85*lookupWork + 0.15*reportWork)
@@ -330,7 +334,7 @@
 	}
 }
 
-// restartEngines starts all stopped engines, cold; coordinators get the list a second later.
+// restartEngines starts all stopped engines, which are then cold. Coordinators get the engine list a second later.
 func (sim *recoverySim) restartEngines() {
 	for _, e := range sim.engines {
 		if e.down {
@@ -354,19 +358,19 @@
 	return served / math.Max(asked, 1)
 }
 
-// measureRecovery stops some engines from second 40 to 70. It returns the share of the value served before, the seconds from
-// the restart until 90% of that share are served again over 3 s (60 if not within 30 s), and how often a cold engine's
-// budget was exceeded.
+// measureRecovery stops some engines from second 40 to 70. It returns the share of the value that was served before, the
+// seconds from the restart until 90% of that share is served again over 3 s (60 if it takes more than 30 s), and how often
+// the budget of a cold engine was exceeded.
 func measureRecovery(seed int64, coordinators, engines, stopped int, followAdvice, utilization float64,
 ) (shareBefore, seconds float64, coldOverruns int) {
 	sim := newRecoverySim(seed, coordinators, engines)
 	sim.followAdvice = followAdvice
-	load := utilization * simCores * float64(engines)
-	sim.run(40000, load)
+	meanCores := utilization * simCores * float64(engines)
+	sim.run(40000, meanCores)
 	sim.stopEngines(stopped)
-	sim.run(70000, load)
+	sim.run(70000, meanCores)
 	sim.restartEngines()
-	sim.run(120000, load)
+	sim.run(120000, meanCores)
 	shareBefore, seconds = sim.servedShare(20, 40), 60
 	for s := 70; s+3 <= 100; s++ {
 		if sim.servedShare(s, s+3) >= 0.9*shareBefore {
@@ -378,8 +382,8 @@
 }
 
 // After an outage of some or all engines for 30 s, requests that are already late must not be served ahead of those that can
-// still be in time, or every answer is late for a minute. Service must be back at 90% of what it was within the limit of each
-// case (10 to 25 s), with half of the clients ignoring advice and no cold engine over its budget.
+// still be in time, or every answer is late for a minute. 90% of the former share of value must be served again within the
+// limit of each case (10 to 25 s), with half of the clients ignoring retry advice and no cold engine over its budget.
 func TestServiceRecoversAfterEngineLoss(t *testing.T) {
 	for _, test := range []struct {
 		coordinators, engines, stopped        int
@@ -392,7 +396,7 @@
 				seed, test.coordinators, test.engines, test.stopped, test.followAdvice, test.utilization)
 			worst, sum, coldOverruns = math.Max(worst, seconds), sum+seconds, coldOverruns+overruns
 		}
-		t.Logf("%d of %d engines stopped, load %.0f%%: back in %.1f s on average, %.0f s at worst; %d cold budgets exceeded",
+		t.Logf("%d of %d engines stopped, load %.0f%%: recovered in %.1f s on average, %.0f s at worst; %d cold budgets exceeded",
 			test.stopped, test.engines, 100*test.utilization, sum/seeds, worst, coldOverruns)
 		if worst > test.maxSeconds || coldOverruns > 0 {
 			t.Errorf("%+v: recovered after %.0f s at worst; %d cold budgets exceeded", test, worst, coldOverruns)
--- a/choice/rules_test.go
+++ b/choice/rules_test.go
@@ -15,9 +15,9 @@
 	h.requireNoSend(h.step(1, testRequest("b", "quick", h)))
 }
 
-// Effect rule: an unsafe request that may have run is failed, never sent again or refused, since a second run would repeat
-// its effect. One that certainly did not run is sent again.
-func TestUnsafeRequestThatMayHaveRunIsFailed(t *testing.T) {
+// Effect rule: an AtMostOnce request that may have run must be failed, neither sent again nor refused, since a second run
+// would repeat its effect. One that certainly did not run must be sent again.
+func TestAtMostOnceRequestThatMayHaveRunIsFailed(t *testing.T) {
 	for _, c := range []struct {
 		res  Result
 		want string
@@ -37,14 +37,14 @@
 	}
 }
 
-// Effect rule: whichever decision leads to it, send itself must refuse a second attempt while one is out, and a repeat of a
-// load that may have run.
+// Effect rule: whichever function calls it, send must not start a second attempt while one is open, nor repeat a load that
+// may have run.
 func TestSendEnforcesEffectRules(t *testing.T) {
 	h := newHarness(t, testSettings(), testEngine("e1"), testEngine("e2"))
 	h.step(1, testRequest("a", "quick", h), testRequest("b", "load", h))
 	a, b := h.scheduler.requests["a"], h.scheduler.requests["b"]
 	if h.scheduler.send(a, h.scheduler.engines[1], 1) {
-		t.Error("sent a second attempt while one is out")
+		t.Error("sent a second attempt while one is open")
 	}
 	b.openAttempts, b.mayHaveRunOn = nil, h.scheduler.engines[0]
 	if h.scheduler.send(b, h.scheduler.engines[1], 1) {
@@ -52,8 +52,8 @@
 	}
 }
 
-// Effect rule: repeats of a keyed request are recognized only in the cell of its first attempt and within the window. One that
-// may have run goes nowhere else, and is failed after the window.
+// Effect rule: engines discard repeats of a Deduplicated request only in the cell of its first attempt and within a time
+// window. A request that may have run must not be sent elsewhere, and must be failed after the window.
 func TestKeyedRepeatStaysInCellAndWindow(t *testing.T) {
 	e2, e3 := testEngine("e2"), testEngine("e3")
 	e2.Cell, e3.Cell = 1, 1
@@ -72,7 +72,7 @@
 }
 
 // Order rule: loads of one order key run one at a time, in the order in which they arrived. After an attempt that may still
-// run, the key rests before the next one is sent.
+// run, the next load must not be sent before the OrderSettleTime is over.
 func TestLoadsOfOneKeyRunOneAtATime(t *testing.T) {
 	s := testSettings()
 	s.OrderSettleTime = 300
@@ -90,7 +90,7 @@
 	}
 }
 
-// Placement rule: a class that is tied to zones and kinds of engine is sent only to engines that match both.
+// Placement rule: queries of a class that is limited to zones and kinds of engines are sent only to engines that match both.
 func TestClassRunsOnlyInItsZonesAndKinds(t *testing.T) {
 	h := newHarness(t, testSettings(), testEngine("e1"), Engine{ID: "e2", Zone: "b", Kind: "other"})
 	h.requireNoSend(h.step(1, testRequest("a", "tied", h)))
@@ -99,8 +99,8 @@
 	}
 }
 
-// Retry ration: further attempts beyond the ration are not sent, even if every other rule allows them. Otherwise failing
-// engines would cause a retry storm.
+// Retry ration: attempts beyond the ration must not be sent, even if every other rule allows them. Otherwise failing engines
+// would cause a retry storm.
 func TestRetryRationLimitsFurtherAttempts(t *testing.T) {
 	s := testSettings()
 	s.HasRetryRation, s.RetryRationFree, s.RetryRationShare, s.RetryRationWindow = true, 2, 0, 5000
@@ -118,7 +118,7 @@
 	}
 }
 
-// Cold engine rule: the work sent to an engine that has just started stays under its budget, or the engine falls over.
+// Cold engine rule: the work sent to an engine that has just started must stay below its budget, or it overloads the engine.
 func TestColdEngineStaysUnderBudget(t *testing.T) {
 	s := testSettings()
 	s.Kinds[0].Cores = 64 // so that the room test limits nothing
@@ -145,7 +145,8 @@
 	alone := h.scheduler.predictLatency(e, q, false)
 	for i, expect := range []float64{1000, 2000} {
 		e.openAttempts = append(e.openAttempts,
-			&attempt{request: &request{Request: Request{TableGroup: "7"}, class: q.class}, engine: e, number: i, sentAt: h.now, expectedTime: expect})
+			&attempt{request: &request{Request: Request{TableGroup: "7"}, class: q.class}, engine: e, number: i,
+				sentAt: h.now, expectedTime: expect})
 	}
 	e.lastHeardAt = h.now
 	if got := h.scheduler.predictLatency(e, q, false) - alone; got != 2000 {
@@ -153,9 +154,9 @@
 	}
 }
 
-// A request marked Once must not run twice, whatever its class allows. Once it may have run it is neither sent again nor
-// refused, and an attempt of it is never cancelled to move it. If the engine did not start it, it is sent again.
-func TestOnceRequestIsNotRepeated(t *testing.T) {
+// A request with AtMostOnce set must not run twice, whatever its class allows. Once it may have run it must be neither sent
+// again nor refused, and its attempts must not be cancelled to move it. If the engine did not start it, it must be sent again.
+func TestAtMostOnceRequestIsNotRepeated(t *testing.T) {
 	for _, class := range []string{"quick", "keyed"} {
 		for _, c := range []struct {
 			result Result
@@ -181,7 +182,7 @@
 	q := testRequest("q", "quick", h)
 	q.AtMostOnce = true
 	h.requireOneSend(h.step(1, q))
-	for range 15 { // silent for far longer than its class takes
+	for range 15 { // the attempt is silent for far longer than answers of its class take
 		for _, a := range h.step(100, Timer{"check"}) {
 			if _, ok := a.(Cancel); ok {
 				t.Fatal("its attempt was cancelled")
--- a/choice/scale_test.go
+++ b/choice/scale_test.go
@@ -6,14 +6,14 @@
 	"testing"
 )
 
-// testFleet holds the schedulers of many coordinators over the same engines, stepped in turn.
+// testFleet holds the schedulers of many coordinators in front of the same engines.
 type testFleet struct {
 	schedulers []*Scheduler
 	now        float64
 	engines    []Engine
 }
 
-// newTestFleet returns a fleet in which every scheduler knows all engines.
+// newTestFleet returns a fleet in which the list of every scheduler holds all engines.
 func newTestFleet(s Settings, coordinators, engines int) *testFleet {
 	fleet := &testFleet{now: 1000}
 	for i := 0; i < engines; i++ {
@@ -43,8 +43,8 @@
 	return Request{ID: fmt.Sprint("q", coordinator, "-", n), Class: class, Deadline: fleet.now + 20000, TableGroup: tables}
 }
 
-// If hundreds of coordinators all took the first of several equal engines, or the one engine that reports no load, they would
-// send everything to it. Their sends must spread over the fleet.
+// If hundreds of coordinators all chose the first of several equal engines, or the one engine that reports no load, they
+// would overload it. Their sends must spread over the fleet.
 func TestCoordinatorsSpreadOverEngines(t *testing.T) {
 	for _, oneReportsIdle := range []bool{false, true} {
 		fleet := newTestFleet(testSettings(), 200, 20)
@@ -73,8 +73,9 @@
 	}
 }
 
-// Cold engine rule: a coordinator's share of a cold engine's budget may be less than one heavy query. What all coordinators
-// together send must stay within the budget in every window, and the engine must still get queries of the heaviest class.
+// Cold engine rule: a coordinator's share of a cold engine's budget may be less than one heavy query. The work that all
+// coordinators together send must stay within the budget in every window, and the engine must still get queries of the
+// heaviest class.
 func TestColdBudgetHoldsOverAllCoordinators(t *testing.T) {
 	s := testSettings()
 	s.Classes[1].LatencyTarget = 20000
@@ -85,7 +86,7 @@
 	var sendLog []sent
 	step := 0
 	for ; fleet.now < 7000; fleet.now += 50 {
-		answers := map[int][]Event{} // answered at once: only the cold budget limits what is sent
+		answers := map[int][]Event{} // every query is answered at once, so that only the cold budget limits the sends
 		for round := 0; round < 2; round++ {
 			for i, scheduler := range fleet.schedulers {
 				events := append(answers[i], Timer{"check"})
@@ -131,7 +132,7 @@
 		fleet.engines[i].StartedAt = fleet.now
 	}
 	fleet.stepAll(func(int) []Event { return []Event{EngineList{Engines: fleet.engines}} })
-	// A tenth of the queries are heavy. All are answered at once: only the cold budget limits what is sent.
+	// A tenth of the queries are heavy. All are answered at once, so that only the cold budget limits the sends.
 	class := func(n, i int) (string, float64) {
 		if (n+i)%10 == 0 {
 			return "wide", 2000
@@ -140,7 +141,7 @@
 	}
 	classShare, engineShare, answers := map[string]float64{}, map[string]float64{}, make([][]Event, len(fleet.schedulers))
 	const spanMs = 6000
-	capacity := s.ColdCapacityShare * 8 * spanMs // CPU ms of an engine in that time if it stays as cold as at its start
+	capacity := s.ColdCapacityShare * 8 * spanMs // CPU ms of an engine in that time if it stays at its initial capacity
 	for n := range spanMs / 150 {
 		fleet.now += 150
 		for e, sends := range fleet.stepAll(func(i int) []Event {
@@ -156,7 +157,8 @@
 				_, _ = fmt.Sscanf(x.Request, "q%d-%d", &i, &n)
 				c, w := class(n, i)
 				classShare[c], engineShare[e] = classShare[c]+w/capacity/80, engineShare[e]+w/capacity
-				answers[i] = append(answers[i], Outcome{Request: x.Request, Engine: e, Result: OK, Duration: w, Work: w, RequestEnded: true})
+				answers[i] = append(answers[i], Outcome{
+					Request: x.Request, Engine: e, Result: OK, Duration: w, Work: w, RequestEnded: true})
 			}
 		}
 	}
@@ -170,9 +172,9 @@
 	}
 }
 
-// However many requests wait, hundreds of coordinators together must not overload the engines for long, nor leave them idle.
-// Each keeps to its share of the fleet's room, averaged over some seconds.
-func TestCoordinatorsTogetherKeepToRoom(t *testing.T) {
+// However many requests wait, hundreds of coordinators together must neither overload the engines for long nor leave them
+// idle. Each keeps to its thread budget, averaged over some seconds.
+func TestCoordinatorsTogetherKeepThreadsInBounds(t *testing.T) {
 	const coordinators, engines = 120, 40 // two threads per core over 120 coordinators: 5.3 threads each
 	fleet := newTestFleet(testSettings(), coordinators, engines)
 	answers := make([]map[float64][]Event, coordinators)
@@ -200,16 +202,16 @@
 	}
 }
 
-// Queries of low priority give way on an engine. If they filled a coordinator's share of the room, queries with more value
-// per work, which the engine would serve at once, would wait behind them in the coordinator.
-func TestDenseQueryPassesLowerPriority(t *testing.T) {
+// An engine serves queries of low priority last. If they could fill a coordinator's thread budget, queries with more value
+// per work, which an engine would serve at once, would wait behind them in the coordinator.
+func TestDenseQueryDoesNotWaitForLowerPriority(t *testing.T) {
 	s := testSettings()
 	s.PrioritiesHonored, s.Classes[1].Value = true, 3
 	fleet := newTestFleet(s, 200, 20)
 	scheduler := fleet.schedulers[0]
 	scheduler.Step(fleet.now, []Event{fleet.request(0, 0, "wide", "1"), fleet.request(0, 1, "wide", "2")})
 	if got := sendActions(scheduler.Step(fleet.now+1, []Event{fleet.request(0, 2, "quick", "3")})); len(got) != 1 {
-		t.Fatalf("a query with high value per work waits behind wide ones: %v", got)
+		t.Fatalf("a query with a high value per work waits behind wide ones: %v", got)
 	}
 }
 
@@ -224,28 +226,30 @@
 			t.Fatalf("table group %d: home engines %s and %s differ", i, x[0].ID, y[0].ID)
 		}
 	}
-	users := map[string]int{}
+	preferredBy := map[string]int{}
 	for _, scheduler := range fleet.schedulers {
 		for _, e := range scheduler.candidates() {
-			users[e.ID]++
+			preferredBy[e.ID]++
 		}
 	}
 	for _, e := range fleet.engines {
-		if n := users[e.ID]; n != 200*minPreferredEngines/20 {
+		if n := preferredBy[e.ID]; n != 200*minPreferredEngines/20 {
 			t.Errorf("%d coordinators prefer %s", n, e.ID)
 		}
 	}
-	// When a home engine drains, its table groups move to their next one, and one more engine is preferred.
+	// When a home engine drains, its table groups move to their next home engine, and another engine becomes a candidate.
 	q := &request{Request: Request{TableGroup: "0"}}
 	first, second := a.homeEngines(q)[0], rankByHash("0", a.preferred)[1]
 	draining := first.Engine
 	draining.Status = Draining
 	a.Step(fleet.now+1, []Event{EngineList{Engines: []Engine{draining}}})
-	if got := a.homeEngines(q); !containsEngine(got, second) || containsEngine(got, first) || len(a.candidates()) != minPreferredEngines {
+	if got := a.homeEngines(q); !containsEngine(got, second) || containsEngine(got, first) ||
+		len(a.candidates()) != minPreferredEngines {
 		t.Errorf("home engines after %s began to drain: %v", first.ID, got)
 	}
 }
 
+// containsEngine reports whether a list contains an engine.
 func containsEngine(list []*engine, e *engine) bool {
 	for _, x := range list {
 		if x == e {
@@ -283,16 +287,17 @@
 	}
 }
 
-// What peers send to an engine after its last report is not visible in it and may fill the engine. A peer message about such
-// a send must raise the engine's load, and a malformed or unknown message must do no harm.
+// Queries that peers have sent to an engine since its last report do not appear in the report and may fill the engine. A
+// peer message about such a send must raise the engine's predicted load, and a malformed or unknown message must do no harm.
 func TestPeerSendsCountAsLoad(t *testing.T) {
 	s := testSettings()
 	s.CanSendToPeers, s.MaxPeerMessageBytes, s.Classes[1].Value = true, 256, 3
 	fleet := newTestFleet(s, 200, 20)
 	scheduler := fleet.schedulers[0]
 	var messages []SendToPeer
-	for _, e := range fleet.schedulers[1].engines { // loaded: in a quiet fleet no peer messages are sent
-		e.reportedLoad, e.reportedAt, fleet.schedulers[1].meanReportedAt, fleet.schedulers[1].meanReportedLoad = 0.65, fleet.now, fleet.now, 0.65
+	for _, e := range fleet.schedulers[1].engines { // at a low load no peer messages are sent
+		e.reportedLoad, e.reportedAt, fleet.schedulers[1].meanReportedAt, fleet.schedulers[1].meanReportedLoad =
+			0.65, fleet.now, fleet.now, 0.65
 	}
 	for _, a := range fleet.schedulers[1].Step(fleet.now, []Event{fleet.request(1, 0, "wide", "1")}) {
 		if x, ok := a.(SendToPeer); ok {
@@ -309,11 +314,12 @@
 	if after := scheduler.engineLoad(e); after <= before {
 		t.Errorf("load of the engine %v before the peer message, %v after", before, after)
 	}
-	scheduler.Step(fleet.now, []Event{PeerMessage{From: 1, Data: []byte{7}}, PeerMessage{From: 900, Data: make([]byte, 999)}, PeerMessage{}})
+	scheduler.Step(fleet.now, []Event{
+		PeerMessage{From: 1, Data: []byte{7}}, PeerMessage{From: 900, Data: make([]byte, 999)}, PeerMessage{}})
 }
 
-// The lost answer of a short query must be noticed by the usual latency of its class over the whole fleet. No single engine
-// has had enough queries to be judged, and short queries send no progress notices.
+// The lost answer of a short query must be noticed by the usual latency of its class over the whole fleet. A single engine
+// has had too few queries for a prediction, and short queries send no progress notices.
 func TestLostShortQueryIsMoved(t *testing.T) {
 	fleet := newTestFleet(testSettings(), 200, 20)
 	scheduler := fleet.schedulers[0]
@@ -338,8 +344,8 @@
 	t.Fatal("lost short query not cancelled within ten times its usual latency")
 }
 
-// A coordinator that sees few of a tenant's requests must not take two at once for a burst over the quota. Far over the quota
-// all of the tenant's requests lose value alike, since no coordinator alone knows which ones exceed it.
+// A coordinator that sees few of a tenant's requests must not count two at once as a burst above the quota. Far above the
+// quota, all of the tenant's requests lose value equally, since no coordinator alone knows which ones exceed it.
 func TestTenantBurstByChanceKeepsValue(t *testing.T) {
 	s := testSettings()
 	s.Tenants, s.OverQuotaValueShare = []Tenant{{Name: "small", Quota: 40, Share: 0.1}}, 0.05
@@ -359,20 +365,21 @@
 		valueOf(n)
 	}
 	if value := valueOf(40); value > 2 || value < 0.4 {
-		t.Errorf("a request far over the quota has the value %v, want 0.4 to 2", value)
+		t.Errorf("a request far above the quota has the value %v, want 0.4 to 2", value)
 	}
 }
 
-// Probes are rationed: with many coordinators, probing the list in order would never get to the engines late in it. Instead
-// the candidates for a costly query are probed; it waits for the reports briefly, then goes to the least loaded engine.
-func TestProbesBeforeCostlySend(t *testing.T) {
+// The number of probes is limited. With many coordinators, probes in the order of the list would never reach the engines at
+// its end. So the candidates for a costly query are probed instead. The query waits briefly for their reports, and is then
+// sent to the least loaded engine.
+func TestCostlyQueryWaitsForProbes(t *testing.T) {
 	s := testSettings()
 	s.CanProbe, s.ReportsOnlyFromProbes = true, true
 	fleet := newTestFleet(s, 200, 20)
 	probed := map[string]bool{}
 	sentToIdle := 0
 	for i, scheduler := range fleet.schedulers {
-		for n := 0; n < 12; n++ { // enough requests for the ration to allow probes
+		for n := 0; n < 12; n++ { // enough requests for maxProbesPerRequest to allow probes
 			scheduler.acceptRequest(fleet.request(i, 100+n, "quick", fmt.Sprint(n)))
 		}
 		scheduler.waiting = scheduler.waiting[:0]
@@ -408,8 +415,8 @@
 	}
 }
 
-// Engines that left the list, and table groups without requests, must be dropped, or memory and the time of each step grow
-// without bound.
+// Engines that are no longer listed, and table groups without requests, must be dropped, or the memory used and the time of
+// each step grow without bound.
 func TestRemovedEnginesAreDropped(t *testing.T) {
 	h := newHarness(t, testSettings(), testEngine("e0"))
 	for i := 1; i < 300; i++ {
@@ -424,7 +431,7 @@
 	}
 }
 
-// An engine that rejects every query as full does so at once and looks idle, which would attract more queries. It must be
+// An engine that rejects every query as full answers at once and looks idle, which would attract more queries. It must be
 // paused, with growing pauses.
 func TestFullEngineIsPaused(t *testing.T) {
 	h := newHarness(t, testSettings(), testEngine("e1"))
@@ -433,7 +440,8 @@
 		actions := h.step(100, Request{ID: fmt.Sprint("q", i), Class: "quick", Deadline: h.now + 2000, TableGroup: "1"})
 		for _, x := range sendActions(actions) {
 			sent++
-			h.step(1, Outcome{Request: x.Request, Attempt: h.scheduler.requests[x.Request].sendCount - 1, Engine: "e1", Result: Full})
+			h.step(1, Outcome{
+				Request: x.Request, Attempt: h.scheduler.requests[x.Request].sendCount - 1, Engine: "e1", Result: Full})
 		}
 	}
 	if sent > 15 {
@@ -466,12 +474,12 @@
 	}
 }
 
-// Where each client uses one coordinator, a few coordinators get most of the traffic. With an even share of the room they
-// would refuse it while engines are idle. A coordinator with about the even traffic keeps the even share.
-func TestShareOfRoomFollowsTraffic(t *testing.T) {
+// If each client uses only one coordinator, a few coordinators may get most of the traffic. With an even share of the fleet's
+// room they would refuse requests while engines are idle. A coordinator with about the mean traffic must keep the even share.
+func TestThreadBudgetFollowsTraffic(t *testing.T) {
 	fleet := newTestFleet(testSettings(), 200, 20)
 	countSends := func(scheduler *Scheduler, interval int) int {
-		n, answers := 0, map[float64][]Event{}
+		sends, answers := 0, map[float64][]Event{}
 		for step := 0; step < 600; step++ {
 			now := fleet.now + float64(step)*50
 			events := append(answers[now], Timer{"check"})
@@ -483,27 +491,30 @@
 			}
 			for _, x := range sendActions(scheduler.Step(now, events)) {
 				if step >= 300 {
-					n++
+					sends++
 				}
 				answers[now+1500] = append(answers[now+1500], Outcome{Request: x.Request, Engine: x.Engine, Result: OK,
 					Duration: 1500, RequestEnded: true})
 			}
 		}
-		return n
+		return sends
 	}
-	if n := countSends(fleet.schedulers[0], 8); n < 10 { // the even share would allow 4
-		t.Errorf("a coordinator with ten times the even traffic sent %d of 37 queries to engines with room, want at least 10", n)
+	if sends := countSends(fleet.schedulers[0], 8); sends < 10 { // the even share would allow 4
+		t.Errorf("a coordinator with ten times the even traffic sent %d of 37 queries to engines with room, want at least 10",
+			sends)
 	}
 	scheduler := fleet.schedulers[1]
 	countSends(scheduler, 50)
 	if scheduler.trafficShare != 1/scheduler.coordinators {
-		t.Errorf("a coordinator with even traffic has %v times the even share, want 1", scheduler.trafficShare*scheduler.coordinators)
+		t.Errorf("a coordinator with even traffic has %v times the even share, want 1",
+			scheduler.trafficShare*scheduler.coordinators)
 	}
 }
 
-// Engines short of memory make little progress and their cores look idle. Coordinators that trust these reports alone send
-// ever more and the fleet does not recover. Answers that take far longer than their work must shrink the share of the room.
-func TestSlowAnswersShrinkShareOfRoom(t *testing.T) {
+// Engines short of memory make little progress and their cores look idle. If coordinators relied on load reports alone, they
+// would send more and more, and the fleet would not recover. Answers that take far longer than their work must shrink the
+// thread budget.
+func TestSlowAnswersShrinkThreadBudget(t *testing.T) {
 	s := testSettings()
 	s.MemoryPaging, s.AnswersCarryCost = true, true
 	shareOfRoom := func(latency float64) float64 {
@@ -522,12 +533,13 @@
 	}
 	quick, slow := shareOfRoom(110), shareOfRoom(400)
 	if even := maxThreadsPerCore * 20 * 8 / 200; quick < 1.2*even || slow > 0.8*even {
-		t.Errorf("share of the room, of which %v is even: %v with quick answers, %v with slow ones", even, quick, slow)
+		t.Errorf("thread budget, of which %v is the even share: %v with quick answers, %v with slow ones", even, quick, slow)
 	}
 }
 
-// With few coordinators and many engines, engines that no coordinator prefers would never be used. A cold engine's
-// budget is divided among the coordinators that prefer it: one that turns to it only because its own engines fail gets none.
+// An engine that no coordinator prefers would never be used, so with few coordinators and many engines each must prefer more
+// of them. The budget of a cold engine is divided among the coordinators that prefer it. One for which it is a candidate only
+// because its preferred engines fail must send it nothing.
 func TestPreferredEnginesCoverFleet(t *testing.T) {
 	for _, size := range [][2]int{{5, 300}, {20, 1024}, {300, 80}, {1024, 1024}, {1024, 3}} {
 		fleet := newTestFleet(testSettings(), size[0], size[1])
@@ -544,7 +556,7 @@
 				}
 				e.failures = 2
 			}
-			for _, e := range scheduler.candidates() { // the first ones fail: engines preferred by others follow
+			for _, e := range scheduler.candidates() { // its preferred engines fail, so engines preferred by others follow
 				if position, coordinators := scheduler.coordinatorPosition(e); position >= coordinators &&
 					scheduler.withinColdBudget(e, &request{class: scheduler.classes["quick"]}) {
 					t.Fatalf("%v: a cold engine gets queries from a coordinator that its budget does not count", size)
@@ -557,9 +569,9 @@
 	}
 }
 
-// A few long queries may fill a coordinator's share of the room. The many short ones, with the most value per work, would wait
-// behind them until they are late. They may exceed a share that is full on average, but only up to a limit.
-func TestDenseQueryPassesFullShareOfRoom(t *testing.T) {
+// A few long queries may fill a coordinator's thread budget. The many short queries, which have the most value per work, would
+// wait behind them until they are late. So they may exceed a budget that is full on average, but only up to a limit.
+func TestDenseQueryMayExceedThreadBudget(t *testing.T) {
 	scheduler := newTestFleet(testSettings(), 200, 20).schedulers[0]
 	for _, c := range []struct {
 		densityRatio, fill float64
@@ -568,7 +580,7 @@
 		scheduler.meanThreadsByPriority = [priorityCount]float64{0, c.fill * scheduler.threadBudget}
 		if got := scheduler.withinThreadBudget(&request{class: scheduler.classes["quick"],
 			valueDensity: c.densityRatio * scheduler.meanValueDensity()}); got != c.allowed {
-			t.Errorf("%v times the mean value per work at %v times the share: allowed is %v", c.densityRatio, c.fill, got)
+			t.Errorf("%v times the mean value per work at %v times the budget: allowed is %v", c.densityRatio, c.fill, got)
 		}
 	}
 }
--- a/choice/step.go
+++ b/choice/step.go
@@ -2,53 +2,54 @@
 
 import "math"
 
-// Step processes the events of one point in time and returns the actions to take. It only passes each event to its
-// handler; no rule is decided here.
-func (f *Scheduler) Step(now float64, events []Event) []Action {
-	f.now, f.actions = now, nil
+// Step processes the events of one point in time and returns the actions to take. It passes each event to its handler,
+// runs the sweep if it is due, and then decides on the waiting requests.
+func (s *Scheduler) Step(now float64, events []Event) []Action {
+	s.now, s.actions = now, nil
 	for _, ev := range events {
 		switch ev := ev.(type) {
 		case EngineList:
-			f.handleEngineList(ev)
+			s.handleEngineList(ev)
 		case Request:
-			f.acceptRequest(ev)
+			s.acceptRequest(ev)
 		case Outcome:
-			f.handleOutcome(ev)
+			s.handleOutcome(ev)
 		case Notice:
-			f.handleNotice(ev)
-		case Overdue: // the client gets its answer now; the attempt keeps its place in the queue of its order key
-			f.handleOverdue(f.requests[ev.Request])
+			s.handleNotice(ev)
+		case Overdue: // the client gets its answer now; the request stays in the queue of its order key
+			s.handleOverdue(s.requests[ev.Request])
 		case ClientGone:
-			f.cancelRequest(f.requests[ev.Request])
+			s.cancelRequest(s.requests[ev.Request])
 		case Timer:
-			// Danger: a timer that comes early, as its clock rounds down, would block all later ones.
-			if f.nextWakeAt <= now+1 {
-				f.nextWakeAt = math.Inf(1)
+			// A timer may fire early, since its clock rounds down. Without the tolerance of 1 ms, nextWakeAt would then
+			// stay set, and requestWake would ask for no further timer.
+			if s.nextWakeAt <= now+1 {
+				s.nextWakeAt = math.Inf(1)
 			}
 		case ProbeResult:
-			f.handleProbeResult(ev)
+			s.handleProbeResult(ev)
 		case PeerMessage:
-			f.handlePeerMessage(ev)
+			s.handlePeerMessage(ev)
 		case ShuttingDown:
-			f.shutDown()
+			s.shutDown()
 		}
 	}
-	sweepDue := now >= f.nextSweepAt
-	// Danger: with many peers, this would pass over hundreds of engines in every event-loop turn.
-	if sweepDue || !f.manyPeers || f.settings.ReportsOnlyFromProbes {
-		f.updateMeans()
-		f.updateThreadBudget()
+	sweepDue := now >= s.nextSweepAt
+	// With many peers there may be hundreds of engines, too many to go through in every event-loop turn.
+	if sweepDue || !s.manyPeers || s.settings.ReportsOnlyFromProbes {
+		s.updateMeans()
+		s.updateThreadBudget()
 	}
-	for priority := range f.meanThreadsByPriority {
-		f.meanThreadsByPriority[priority] += (f.threadsByPriority[priority] - f.meanThreadsByPriority[priority]) *
-			(1 - math.Exp((f.meanThreadsAt-now)/threadAverageMs))
+	for priority := range s.meanThreadsByPriority {
+		s.meanThreadsByPriority[priority] += (s.threadsByPriority[priority] - s.meanThreadsByPriority[priority]) *
+			(1 - math.Exp((s.meanThreadsAt-now)/threadAverageMs))
 	}
-	f.meanThreadsAt = now
+	s.meanThreadsAt = now
 	if sweepDue {
-		f.nextSweepAt = now + f.checkInterval
-		f.sweep()
+		s.nextSweepAt = now + s.checkInterval
+		s.sweep()
 	}
-	f.dispatch(sweepDue)
-	f.requestWake(f.nextSweepAt)
-	return f.actions
+	s.dispatch(sweepDue)
+	s.requestWake(s.nextSweepAt)
+	return s.actions
 }
--- a/choice/tuning.go
+++ b/choice/tuning.go
@@ -1,10 +1,10 @@
 package choice
 
-// Constants of the scheduling rules: first the defaults of the design, then those of the additions to it.
-// Names ending in Ms are milliseconds; the others are ratios, shares or counts.
+// This file holds the constants of the scheduling rules. Names ending in Ms are milliseconds; the others are
+// ratios, shares or counts.
 
 const (
-	// Defaults of the design.
+	// Holding and sending.
 
 	// A table group counts as warm on an engine for this long after the scheduler last sent a request
 	// for it there.
@@ -22,152 +22,159 @@
 
 	// Weight of one outcome in an engine's slowness factor.
 	slownessLearnRate = 0.15
-	// Least weight of one outcome in a class's mean work.
+	// Minimum weight of one outcome in a class's mean work.
 	minWorkLearnRate = 0.03
-	// One outcome counts as at most this many times too slow or too fast.
+	// The ratio by which an outcome was slower or faster than predicted is limited to this and its inverse.
 	maxOutcomeRatio = 12.0
 	// With many coordinators, predictions that differ by up to this share are ordered at random.
 	tieBreakSpread = 0.3
 	// Without new answers, a slowness factor drifts back to the fleet's mean at this time constant,
-	// so that an old fault does not count for ever.
+	// so that an old fault does not count forever.
 	slownessDecayMs = 15000.0
-	// Threads that keep one core busy: part of their time goes to disk waits.
+	// Threads that keep one core busy; they wait for disks for part of their time.
 	threadsPerBusyCore = 1.3
-	// Load of an engine whose disks or memory are used up; they may be fuller than cores.
+	// Load of an engine whose disks or memory are fully used, as they may be used more fully than cores.
 	diskMemLoadWeight = 0.85
-	// Load reports older than this are not believed; younger ones lose weight at this time constant.
+	// Load reports older than this are ignored where a recent report is needed; others lose weight at this
+	// time constant.
 	reportLifetimeMs = 3000.0
-	// Memory grant to memory estimate of a class at first: what an engine chooses by itself.
+	// Initial ratio of memory grant to memory estimate of a class: what an engine chooses by itself.
 	initialGrantRatio = 1.25
-	// A query that spills raises its class's grants by this power of the ratio of need to grant.
+	// A query that spills to disk raises its class's grants by this power of the ratio of need to grant.
 	grantGrowthPower = 0.25
 	// A query that does not spill multiplies its class's grants by this.
 	grantDecayRatio = 0.97
 	// Share of an engine's memory in use from which it has no room.
 	fullMemoryShare = 0.95
-	// Grant that an engine chooses by itself, to what such a query usually needs.
+	// Ratio of the grant that an engine chooses by itself to the memory that the query usually needs.
 	grantToNeedRatio = 1.5
-	// A report of full memory closes an engine for this long.
+	// Time for which an engine gets no queries after a report of full memory.
 	memoryReportLifetimeMs = 3000.0
-	// Share of its latency target that a class is assumed to take before any answer is known.
+	// Share of its latency target that a query of a class is assumed to take before any answer is known.
 	initialLatencyShare = 1.0 / 3
-	// Cores of a machine whose kind the settings do not name.
+	// Cores of an engine whose kind the settings do not name.
 	defaultCores = 8.0
-	// Ratio by which predictions grow in other zones where crossing has a price, to break ties.
+	// Ratio by which predictions grow in other zones if CrossZonePrice is set, to break ties.
 	crossZonePenalty = 1.03
 	// Added to crossZonePenalty as the fleet's reported load falls from targetLoad to 0.
 	idleCrossZonePenalty = 0.5
 	// Reported load below which an engine's room may be exceeded by a whole query.
 	maxOvershootLoad = 0.7
-	// Reported load below which an engine has more room and coordinators send each other nothing:
-	// the others then use less than their share.
+	// Reported load below which an engine has more room, since the other coordinators use less than their
+	// share of it. Below this mean load, coordinators send each other no messages.
 	lowLoad = 0.55
 	// Ratio by which an engine's room grows below lowLoad.
 	lowLoadRoomRatio = 1.3
-	// Load below which an answer's time shows what its class takes on an engine that is not crowded.
-	uncrowdedLoad = 0.55
-	// Above this many coordinators, the sends of the others decide what an engine keeps warm.
+	// Load of an engine below which the time of an answer counts as its class's time under light load.
+	lightLoad = 0.55
+	// Above this number of coordinators, it is mainly the sends of the others that keep an engine's tables
+	// warm.
 	manyCoordinators = 4.0
-	// With many coordinators, each prefers at least this many engines ...
+	// With many coordinators, the minimum number of engines that each prefers.
 	minPreferredEngines = 8
-	// ... and at least this many coordinators prefer an engine, where their sets do not cover the fleet.
+	// Minimum mean number of coordinators that prefer an engine, with many coordinators.
 	minCoordinatorsPerEngine = 2.0
 	// Assumed age of a load report when it arrives.
 	reportDelayMs = 300.0
-	// Engines that keep a table group warm, to those that its share of the traffic needs.
+	// Ratio of the engines that keep a table group warm to those that its share of the traffic needs.
 	homeEnginesRatio = 1.5
 	// Weight, in requests, of the prior that a table group's share of the traffic is 0.
 	homePriorRequests = 20.0
 	// Mean reported load at which a coordinator's thread budget stays as it is.
 	targetLoad = 0.8
-	// Time of answers under targetLoad, to their time on an idle engine.
+	// Ratio of the time of answers under targetLoad to their time on an idle engine.
 	targetLoadSlowdown = 1.5
-	// Shorter queries count as this long when slowdowns are measured: their network time outweighs them.
+	// Minimum time on an idle engine that is assumed when slowdowns are measured: for shorter queries, the
+	// time on the network outweighs that on the engine.
 	minUnloadedTimeMs = 10.0
-	// Up to this load every query may go to an engine ...
+	// With many coordinators under MemoryPaging, an engine's load up to which every query is admitted.
 	admitAllLoad = 1.0
-	// ... and from this load none; between them the admitted share falls evenly.
+	// Load from which no query is admitted; between the two, the admitted share falls evenly.
 	admitNoneLoad = 1.4
-	// Power of targetLoad to load by which the thread budget grows or shrinks.
+	// Power of the ratio of targetLoad to load by which the thread budget grows or shrinks.
 	budgetGrowthPower = 2.0
-	// Ratio: least change of the thread budget.
+	// Minimum ratio by which the thread budget is adapted.
 	minBudgetGrowth = 0.6
-	// Ratio: largest change of the thread budget; one coordinator may have more than its even share.
+	// Maximum ratio by which the thread budget is adapted; one coordinator may have more than its even share.
 	maxBudgetGrowth = 1.6
 	// From this many times its even share, a coordinator's share of the traffic follows its requests.
 	unevenShareRatio = 2.0
 	// Time constant of a coordinator's share of the traffic.
 	demandWindowMs = 10000.0
-	// Time constant of the mean of threads out, which counts against the thread budget, and of slowdowns.
+	// Time constant of the mean number of threads out, which counts against the thread budget, and of the
+	// mean slowdown.
 	threadAverageMs = 3000.0
-	// Times its thread budget that this mean may reach for a query of high value density.
+	// Multiple of the thread budget that this mean may reach for a query of high value density.
 	denseBudgetRatio = 1.3
-	// Times its thread budget that a coordinator may have out at one moment.
+	// Multiple of the thread budget that a coordinator may have out at one moment.
 	burstBudgetRatio = 2.0
-	// Time of an engine's answers to that under light load, from which its room shrinks.
+	// Ratio of the time of an engine's answers to their time under light load from which its room shrinks.
 	crowdedSlowdown = 1.7
-	// Share of its room that a crowded engine keeps at least.
+	// Minimum share of its room that an engine with slow answers keeps.
 	minCrowdedRoomShare = 0.6
 	// Weight of an engine's past answer times after each further answer.
 	answerTimeDecay = 0.97
 
 	// Health of engines.
 
-	// An engine whose silence exceeds this many expected latencies counts as slower in proportion.
+	// An engine with more missed answers than this counts as slower in proportion to their number.
 	toleratedMissedAnswers = 3.0
-	// An engine that is silent for this many expected latencies is taken to be unresponsive ...
+	// An engine with more missed answers than this is unresponsive, if it is silent for longer than
+	// minUnresponsiveSilenceMs.
 	unresponsiveMissedAnswers = 8.0
-	// ... if it is silent for at least this long; setTimeScale shortens it.
+	// Minimum silence of an unresponsive engine; setTimeScale shortens it.
 	minUnresponsiveSilenceMs = 400.0
 	// First pause of an engine that failed; each further failure doubles it.
 	initialPauseMs = 400.0
-	// Longest such pause, before random spread.
+	// Longest pause of an engine that failed, without its random part.
 	maxPauseMs = 4000.0
-	// A request that failed on this many engines is taken to be at fault itself.
+	// A request that failed on this many engines is considered to be at fault itself.
 	maxFailedEngines = 3
 	// Ratio by which a prediction grows on an engine where the request has failed.
 	failedEnginePenalty = 4.0
-	// Errors in a row after which an engine is suspect.
+	// Errors in a row after which an engine is paused.
 	suspectAfterErrors = 3
-	// Most moves of one request because of silence alone; after these it may just be heavy.
+	// Maximum number of moves of one request because of silence alone; after these it may just be heavy.
 	maxLostMoves = 2
-	// Share of a class's answers that are faster than its tail ratio times what was expected.
+	// Share of a class's answers that take less than its tail ratio times the expected time.
 	tailPercentile = 0.97
-	// Tail ratio, time to expected time, of a class before any answer is known.
+	// Ratio of a class's tail of answer times to the expected time, before any answer is known.
 	initialTailRatio = 4.0
 	// Step of the tail ratio's logarithm at each answer.
 	tailLearnStep = 0.3
-	// Wait of a query behind a load that holds its table group, to the load's usual time.
+	// Ratio of the time that a query waits for a load holding its table group to the load's usual time.
 	lockWaitShare = 0.5
-	// A table group is taken to be held for this long once a query waits for it.
+	// Time for which a table group is assumed to be held once a query waits for it.
 	lockHeldMs = 100.0
-	// Slots are scarce from this share of the requests that a coordinator can hold.
+	// Slots are scarce from this share of MaxOpenRequests.
 	scarceSlotShare = 0.9
-	// Slots that a load counts for, as other requests wait behind it.
+	// Number of slots that a load counts as, because other requests wait behind it.
 	slotsPerLoad = 3.0
 	// Time constant of the measured value served.
 	servedValueWindowMs = 5000.0
-	// Ratio by which a load's prediction grows on engines that are no home of its table group.
+	// Ratio by which a load's prediction grows on engines that are not home engines of its table group.
 	loadOffHomePenalty = 4.0
-	// Notice periods of silence after which a new attempt counts as lost ...
+	// Notice periods of silence after which an attempt without a progress notice counts as lost.
 	initialLostNoticePeriods = 1.6
-	// ... and after which it does once it has sent a progress notice.
+	// Notice periods of silence after which an attempt counts as lost once it has sent a progress notice.
 	lostNoticePeriods = 1.15
-	// An attempt heading for this many times a fresh prediction is restarted: it may have a bad plan.
+	// An attempt that is projected to take more than this many times the predicted time of a new attempt is
+	// restarted, as it may have a bad query plan.
 	badPlanRatio = 4.0
-	// The same for queries without an estimate, which may just be heavy.
+	// As badPlanRatio, for queries without an estimate, which may just be heavy.
 	badPlanRatioNoEstimate = 7.0
 	// Share of a slow attempt's time that a restarted one is first assumed to take.
 	initialRestartShare = 0.3
-	// Weight of one restart in that share.
+	// Weight of one restart in the share of time that restarted attempts of its class take.
 	restartLearnRate = 0.2
 	// Time constant at which that share drifts back to initialRestartShare, so that restarts are tried again.
 	restartDecayMs = 20000.0
-	// Attempts that the scheduler may cancel by itself to move their requests, in moveWindowMs ...
+	// Requests that the scheduler may move in moveWindowMs regardless of the traffic. The limit on moves
+	// prevents retry storms.
 	freeMoves = 3.0
-	// ... in addition to this share of the requests received ...
+	// Further moves per request received in moveWindowMs.
 	movesPerRequest = 0.25
-	// ... in this time; the bound prevents retry storms.
+	// Time window in which moves are counted.
 	moveWindowMs = 5000.0
 
 	// Sharing and refusals.
@@ -179,23 +186,25 @@
 	coldTurnShare = 0.3
 	// Share of an engine's cores that is its capacity.
 	capacityCoreShare = 0.85
-	// Share of its quota by which a tenant's traffic may be uneven over the coordinators.
+	// Share of a tenant's quota that a coordinator allows in addition, as the traffic may be uneven.
 	quotaSlackShare = 0.2
 	// Time constant over which a tenant's traffic is compared with its quota.
 	quotaWindowMs = 5000.0
-	// Requests above its quota in that time that may be chance.
+	// Minimum number of requests in quotaWindowMs that are allowed above a tenant's quota, as they may be
+	// chance.
 	quotaSlackRequests = 3.0
 	// Share within quota of a tenant's traffic below which its requests get the lowest priority.
 	lowPriorityQuotaShare = 0.2
-	// From this many times the mean value density, a class goes first on an engine.
+	// Ratio to the mean value density above which a query has the highest priority on an engine and may
+	// exceed the thread budget.
 	highDensityRatio = 1.2
-	// Mean retry advice of a refusal, as a share of the longest that clients follow.
+	// Mean advised pause of a refusal, as a share of MaxRetryAfter.
 	retryAdviceShare = 0.5
-	// Held requests decided on at one event between two full checks.
+	// Maximum number of held requests on which a step decides between two full checks.
 	maxHeldChecked = 96
 	// Time between two probes of an engine.
 	probeIntervalMs = 500.0
-	// Most probes per request received.
+	// Maximum number of probes per request received.
 	maxProbesPerRequest = 0.5
 	// An engine whose last report is younger than this needs no probe.
 	probeMinReportAgeMs = 300.0
@@ -203,6 +212,7 @@
 	probeWaitMs = 15.0
 	// Latency target of a class that the settings do not name.
 	unknownClassTargetMs = 1000.0
-	// A request not sent by this long before its deadline gets its final answer; setTimeScale shortens it.
+	// A request that is not sent this long before its deadline gets its final answer; setTimeScale shortens
+	// it.
 	finalAnswerMarginMs = 120.0
 )
--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -1,4 +1,4 @@
-// Command drill runs scheduler instances for the simulator: it reads batches of events from standard input and writes one
+// Command drill runs scheduler instances for the simulator. It reads batches of events from standard input and writes one
 // reply for each batch to standard output.
 package main
 
@@ -27,11 +27,11 @@
 	decoder := wire.NewDecoder()
 	schedulers := map[int]*choice.Scheduler{}
 	pendingEvents := map[int][]choice.Event{}
-	var stepOrder []int // instances that have events in this batch, in the order of their first one
+	var stepOrder []int // instances that start or have events in this batch, in the order of their lines
 	var reply []byte
 	var now float64
 	inBatch := false
-	// recoverPanic, when deferred, turns a panic of an instance's scheduler into a GIVE_IN line.
+	// recoverPanic is deferred around calls of an instance's scheduler, and turns a panic into a GIVE_IN line.
 	recoverPanic := func(instance int) {
 		if problem := recover(); problem != nil {
 			text := strings.Join(strings.Fields(fmt.Sprint(problem)), " ")
@@ -42,7 +42,7 @@
 		defer recoverPanic(line.Instance)
 		schedulers[line.Instance], pendingEvents[line.Instance] = choice.New(line.Settings, now), nil
 	}
-	// step has an instance process its events of this batch.
+	// step passes an instance its events of this batch and encodes its actions.
 	step := func(instance int) {
 		events := pendingEvents[instance]
 		if len(events) == 0 || schedulers[instance] == nil {
--- a/cmd/thymectl/main.go
+++ b/cmd/thymectl/main.go
@@ -16,7 +16,7 @@
 	out io.Writer
 }
 
-// commands is the command line, as kong parses it.
+// commands defines the commands and flags that kong parses.
 type commands struct {
 	Shapes struct {
 		Explain explain `cmd:"" help:"Read JSON lines with text and dialect, and tell for each what its statement is taken for."`
--- a/cmd/thymectl/shapes.go
+++ b/cmd/thymectl/shapes.go
@@ -72,12 +72,12 @@
 	}
 }
 
-// explain is the command that classifies statements.
+// explain is the command that shows how statements are classified.
 type explain struct{}
 
 // Run reads statements from the input and writes an explainedStatement for each line.
 func (explain) Run(s streams) error {
-	book := shape.NewCatalog(shape.Options{MaxBytes: 8 << 20})
+	catalog := shape.NewCatalog(shape.Options{MaxBytes: 8 << 20})
 	w := bufio.NewWriter(s.out)
 	encoder := json.NewEncoder(w)
 	encoder.SetEscapeHTML(false)
@@ -86,7 +86,7 @@
 		if fault != "" {
 			return encoder.Encode(explainedStatement{shape.Unknown.String(), []string{}, []string{}, "", "default", fault})
 		}
-		return encoder.Encode(explainShape(book.Recognise(*input.Text, dialect, 0)))
+		return encoder.Encode(explainShape(catalog.Recognise(*input.Text, dialect, 0)))
 	})
 	if err != nil {
 		return err
@@ -99,8 +99,8 @@
 	result := explainedStatement{Kind: s.Kind.String(), Reads: append([]string{}, s.Reads...),
 		Writes: append([]string{}, s.Writes...), Shape: s.Name(),
 		Verdict: "known", Reason: "recognised"}
-	if doubt := shape.CheckRole(shape.AnyRole, &s.Info); doubt != shape.NoReason {
-		result.Verdict, result.Reason = "default", doubt.String()
+	if reason := shape.CheckRole(shape.AnyRole, &s.Info); reason != shape.NoReason {
+		result.Verdict, result.Reason = "default", reason.String()
 	}
 	return result
 }
@@ -112,12 +112,12 @@
 	Most     int    `default:"20" help:"Shapes to list, the dearest first."`
 }
 
-// shapeStats holds the statistics of one shape.
+// shapeStats holds the number of statements of one shape, their work and cost, and a text for display.
 type shapeStats struct {
 	shape  *shape.Shape
 	count  int
 	workMs float64
-	price  shape.Cost
+	cost   shape.Cost
 	text   string
 }
 
@@ -128,9 +128,9 @@
 		return err
 	}
 	defer f.Close()
-	book := shape.NewCatalog(shape.Options{MaxBytes: r.MemoryKB << 10})
+	catalog := shape.NewCatalog(shape.Options{MaxBytes: r.MemoryKB << 10})
 	owners, byShape, badLines := map[string]int{}, map[uint64]*shapeStats{}, 0
-	doubts := map[shape.Reason]int{}
+	unproven := map[shape.Reason]int{}
 	var elapsed time.Duration
 	err = forEachLine(f, func(line []byte) error {
 		input, dialect, fault := parseLine(line)
@@ -144,29 +144,29 @@
 			owners[input.Tenant] = owner
 		}
 		start := time.Now()
-		found := book.Recognise(*input.Text, dialect, owner)
+		found := catalog.Recognise(*input.Text, dialect, owner)
 		elapsed += time.Since(start)
 		if found.Reason != shape.NoReason {
-			doubts[found.Reason]++
+			unproven[found.Reason]++
 		}
-		known := byShape[found.ID]
-		if known == nil {
-			known = &shapeStats{shape: found, text: found.Text()}
-			byShape[found.ID] = known
+		entry := byShape[found.ID]
+		if entry == nil {
+			entry = &shapeStats{shape: found, text: found.Text()}
+			byShape[found.ID] = entry
 		}
-		known.count++
+		entry.count++
 		if input.Work > 0 {
-			book.Learn(found, input.Told, input.Work, max(input.Mem, 0))
-			known.workMs += input.Work
-			known.price.Work.Add(input.Work)
-			known.price.Mem.Add(input.Mem)
+			catalog.Learn(found, input.Told, input.Work, max(input.Mem, 0))
+			entry.workMs += input.Work
+			entry.cost.Work.Add(input.Work)
+			entry.cost.Mem.Add(input.Mem)
 		}
 		return nil
 	})
 	if err != nil {
 		return err
 	}
-	stats := book.Stats()
+	stats := catalog.Stats()
 	if stats.Lookups == 0 {
 		return fmt.Errorf("%s: no statement in it, %d bad lines", r.File, badLines)
 	}
@@ -183,14 +183,14 @@
 		row("estimates off by", "told x%.2f, learned x%.2f (medians)", stats.RequestEstimateError, stats.LearnedEstimateError)
 	}
 	for d := shape.NoReason; d < shape.NumReasons; d++ {
-		if doubts[d] > 0 {
-			row("doubted: "+d.String(), "%d", doubts[d])
+		if unproven[d] > 0 {
+			row("doubted: "+d.String(), "%d", unproven[d])
 		}
 	}
 	fmt.Fprintln(w)
 	all := make([]*shapeStats, 0, len(byShape))
-	for _, known := range byShape {
-		all = append(all, known)
+	for _, entry := range byShape {
+		all = append(all, entry)
 	}
 	printCostliest(w, all, r.Most)
 	return w.Flush()
@@ -208,15 +208,15 @@
 		return sign(float64(a.shape.ID) - float64(b.shape.ID))
 	})
 	fmt.Fprintln(w, "SHAPE\tKIND\tREADS\tWRITES\tN\tWORK MS\tP50\tP95\tMEM MB\tTEXT")
-	for _, t := range all[:min(limit, len(all))] {
-		text := t.text
+	for _, entry := range all[:min(limit, len(all))] {
+		text := entry.text
 		if r := []rune(text); len(r) > 80 {
 			text = string(r[:77]) + "..."
 		}
-		p := &t.price
-		fmt.Fprintf(w, "%s\t%v\t%v\t%v\t%d\t%.0f\t%.0f\t%.0f\t%.0f\t%s\n", t.shape.Name(),
-			t.shape.Kind, t.shape.Reads, t.shape.Writes, t.count, t.workMs,
-			p.Work.Quantile(0.5), p.Work.Quantile(0.95), p.Mem.Mean(), text)
+		cost := &entry.cost
+		fmt.Fprintf(w, "%s\t%v\t%v\t%v\t%d\t%.0f\t%.0f\t%.0f\t%.0f\t%s\n", entry.shape.Name(),
+			entry.shape.Kind, entry.shape.Reads, entry.shape.Writes, entry.count, entry.workMs,
+			cost.Work.Quantile(0.5), cost.Work.Quantile(0.95), cost.Mem.Mean(), text)
 	}
 }
 
@@ -244,18 +244,18 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.File, err)
 	}
-	book := shape.NewCatalog(shape.Options{MaxBytes: maxBytes})
-	n, err := book.Load(payload)
+	catalog := shape.NewCatalog(shape.Options{MaxBytes: maxBytes})
+	n, err := catalog.Load(payload)
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.File, err)
 	}
 	w := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "shapes\t%d\n\n", n)
 	var all []*shapeStats
-	book.Each(func(known *shape.Shape) {
-		p := &known.Cost
-		all = append(all, &shapeStats{shape: known, count: int(p.Work.Count()), workMs: p.Work.Count() * p.Work.Mean(), price: *p,
-			text: known.Text()})
+	catalog.Each(func(entry *shape.Shape) {
+		cost := &entry.Cost
+		all = append(all, &shapeStats{shape: entry, count: int(cost.Work.Count()), workMs: cost.Work.Count() * cost.Work.Mean(),
+			cost: *cost, text: entry.Text()})
 	})
 	printCostliest(w, all, c.Most)
 	return w.Flush()
--- a/cmd/thymectl/shapes_test.go
+++ b/cmd/thymectl/shapes_test.go
@@ -88,12 +88,12 @@
 
 // show lists the shapes in a snapshot, and rejects a truncated one with the reason.
 func TestShow(t *testing.T) {
-	b := shape.NewCatalog(shape.Options{MaxBytes: 1 << 20})
-	b.Learn(b.Recognise("SELECT a FROM sales_3.t WHERE b = 5", shape.Postgres, 0), 0, 70, 5)
-	d := b.Dump()
-	d.Step(10)
+	catalog := shape.NewCatalog(shape.Options{MaxBytes: 1 << 20})
+	catalog.Learn(catalog.Recognise("SELECT a FROM sales_3.t WHERE b = 5", shape.Postgres, 0), 0, 70, 5)
+	dump := catalog.Dump()
+	dump.Step(10)
 	file := filepath.Join(t.TempDir(), "s")
-	whole := snapshot.Encode(shape.DumpKind, shape.DumpVersion, d.Bytes())
+	whole := snapshot.Encode(shape.DumpKind, shape.DumpVersion, dump.Bytes())
 	if err := snapshot.Write(file, whole); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/thymeway/clickhouse_test.go
+++ b/cmd/thymeway/clickhouse_test.go
@@ -30,7 +30,7 @@
 type testCluster struct {
 	t                testing.TB
 	pgAddr, httpAddr string
-	engineAddrs      []string // of the engines, in the same order
+	engineAddrs      []string // addresses of the engines, in the same order
 	engines          []*standin.ClickHouse
 	stop             func()
 }
@@ -45,7 +45,7 @@
 // startCluster starts the program with the given number of ClickHouse engines, and waits until it serves clients.
 func startCluster(t testing.TB, engines int, script func(engine, n int, text string) standin.Fault) *testCluster {
 	t.Helper()
-	p := &testCluster{t: t, pgAddr: freeAddr(t), httpAddr: freeAddr(t)}
+	cluster := &testCluster{t: t, pgAddr: freeAddr(t), httpAddr: freeAddr(t)}
 	var groups []string
 	clock := &standin.LogicalClock{}
 	for i := range engines {
@@ -58,14 +58,14 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(e.Stop)
-		p.engines, p.engineAddrs = append(p.engines, e), append(p.engineAddrs, addr)
+		cluster.engines, cluster.engineAddrs = append(cluster.engines, e), append(cluster.engineAddrs, addr)
 		groups = append(groups, listedGroup(fmt.Sprint("ch-", i), addr))
 	}
 	dir := t.TempDir()
 	configFile, localFile := filepath.Join(dir, "config.json"), filepath.Join(dir, "thymeway.ini")
-	writeConfig(t, configFile, groups, "127.0.0.1:5499", p.pgAddr, "127.0.0.1:8599", freeAddr(t))
-	if err := os.WriteFile(localFile, []byte("[clickhouse]\nlisten = "+p.httpAddr+"\n[kind std-12]\nprotocol = clickhouse\n"),
-		0o600); err != nil {
+	writeConfig(t, configFile, groups, "127.0.0.1:5499", cluster.pgAddr, "127.0.0.1:8599", freeAddr(t))
+	if err := os.WriteFile(localFile,
+		[]byte("[clickhouse]\nlisten = "+cluster.httpAddr+"\n[kind std-12]\nprotocol = clickhouse\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	t.Setenv("EDGE_CONFIG", configFile)
@@ -77,7 +77,7 @@
 	signals, ended := make(chan os.Signal, 4), make(chan error, 1)
 	go func() { ended <- serve(c, read, signals) }()
 	once := sync.Once{}
-	p.stop = func() {
+	cluster.stop = func() {
 		once.Do(func() {
 			signals <- os.Interrupt
 			select {
@@ -90,11 +90,11 @@
 			}
 		})
 	}
-	t.Cleanup(p.stop)
+	t.Cleanup(cluster.stop)
 	for range 500 {
-		if r, err := http.Get("http://" + p.httpAddr + "/ping"); err == nil {
+		if r, err := http.Get("http://" + cluster.httpAddr + "/ping"); err == nil {
 			_ = r.Body.Close()
-			return p
+			return cluster
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -103,39 +103,39 @@
 }
 
 // openClient opens a connection of the ClickHouse client library to the coordinator.
-func (p *testCluster) openClient(compression clickhouse.CompressionMethod) clickhouse.Conn {
-	p.t.Helper()
-	c, err := clickhouse.Open(&clickhouse.Options{Protocol: clickhouse.HTTP, Addr: []string{p.httpAddr},
+func (c *testCluster) openClient(compression clickhouse.CompressionMethod) clickhouse.Conn {
+	c.t.Helper()
+	conn, err := clickhouse.Open(&clickhouse.Options{Protocol: clickhouse.HTTP, Addr: []string{c.httpAddr},
 		Auth:        clickhouse.Auth{Database: "default", Username: "acme"},
 		Compression: &clickhouse.Compression{Method: compression}, DialTimeout: 20 * time.Second, ReadTimeout: 20 * time.Second})
 	if err != nil {
-		p.t.Fatal(err)
+		c.t.Fatal(err)
 	}
-	p.t.Cleanup(func() { _ = c.Close() })
-	return c
+	c.t.Cleanup(func() { _ = conn.Close() })
+	return conn
 }
 
 // runs returns the runs of all engines.
-func (p *testCluster) runs() (all []standin.Run) {
-	for _, e := range p.engines {
+func (c *testCluster) runs() (all []standin.Run) {
+	for _, e := range c.engines {
 		all = append(all, e.Runs()...)
 	}
 	return all
 }
 
-// The ClickHouse client library connects, queries with parameters, reads all types, inserts a batch and cancels a query
-// through its context, with each compression method.
+// With each compression method, the ClickHouse client library can connect, pass parameters, read all types, insert a batch and
+// cancel a query through its context.
 func TestClickHouseClient(t *testing.T) {
 	for _, method := range []clickhouse.CompressionMethod{clickhouse.CompressionNone, clickhouse.CompressionLZ4,
 		clickhouse.CompressionZSTD, clickhouse.CompressionGZIP} {
 		t.Run(method.String(), func(t *testing.T) {
-			p := startCluster(t, 1, func(_, _ int, text string) standin.Fault {
+			cluster := startCluster(t, 1, func(_, _ int, text string) standin.Fault {
 				if strings.Contains(text, "slow") {
 					return standin.Fault{Delay: time.Minute}
 				}
 				return standin.Fault{}
 			})
-			c, ctx := p.openClient(method), context.Background()
+			c, ctx := cluster.openClient(method), context.Background()
 			var n uint64
 			rows, err := c.Query(ctx, "SELECT number FROM numbers(1000)")
 			if err != nil {
@@ -171,12 +171,13 @@
 				t.Fatal(err)
 			}
 			_ = row.Close()
-			if s != "it's\ta \\ tab" || u != 18446744073709551615 || i != -5 || f != 1.5 || day.Format("2006-01-02") != "2026-12-01" ||
-				at.Unix() != 1796120430 || at3.UnixMilli() != 1796120430125 || null != nil || l != "low" || e != "b" ||
+			if s != "it's\ta \\ tab" || u != 18446744073709551615 || i != -5 || f != 1.5 ||
+				day.Format("2006-01-02") != "2026-12-01" || at.Unix() != 1796120430 ||
+				at3.UnixMilli() != 1796120430125 || null != nil || l != "low" || e != "b" ||
 				fmt.Sprint(dec) != "-12.3" || fmt.Sprint(id) != "61f0c404-5cb3-11e7-907b-a6006ad3dba0" || !b {
 				t.Error(s, u, i, f, day, at, at3, null, l, e, dec, id, b)
 			}
-			if r := p.runs(); r[len(r)-1].Params["a"] == "" {
+			if r := cluster.runs(); r[len(r)-1].Params["a"] == "" {
 				t.Errorf("the engine got %+v", r[len(r)-1])
 			}
 			batch, err := c.PrepareBatch(ctx, "INSERT INTO sales_3.t (a, b)")
@@ -191,7 +192,7 @@
 			if err := batch.Send(); err != nil {
 				t.Fatal(err)
 			}
-			if r := p.runs(); !strings.HasPrefix(r[len(r)-1].Text, "INSERT INTO sales_3.t") ||
+			if r := cluster.runs(); !strings.HasPrefix(r[len(r)-1].Text, "INSERT INTO sales_3.t") ||
 				!strings.Contains(r[len(r)-1].Text+r[len(r)-1].Data, "row 9") || r[len(r)-1].Token == "" {
 				t.Errorf("the engine got %.200q", fmt.Sprint(r[len(r)-1]))
 			}
@@ -200,8 +201,8 @@
 			if err := c.Exec(short, "SELECT slow FROM sales_3.t"); err == nil {
 				t.Error("a cancelled query succeeded")
 			}
-			p.stop()
-			r := p.runs()
+			cluster.stop()
+			r := cluster.runs()
 			if last := r[len(r)-1]; !last.Killed || last.EndedAt == 0 {
 				t.Errorf("the query goes on running after its client cancelled it: %+v", last)
 			}
@@ -209,19 +210,19 @@
 	}
 }
 
-// A fault of one engine is hidden from the client if another engine can run the query, and a broken answer is never passed on
-// as a result.
+// Guards against errors that reach a client although another engine can run the query, and against invalid answers that are
+// passed on as results.
 func TestClickHouseEngineFaults(t *testing.T) {
-	faults := map[string]standin.Fault{"busy": {TooManyQueries: true}, "fail": {ExceptionCode: 241}, "behind": {LateException: true},
-		"half":  {TruncatedRow: true},
-		"reset": {ConnReset: true}, "garbled": {MalformedAnswer: true},
-		"dropped":          {CloseConn: true, Delay: 400 * time.Millisecond},
-		"dropped and deaf": {CloseConn: true, IgnoreKill: true, Delay: 400 * time.Millisecond}}
+	faults := map[string]standin.Fault{"too many queries": {TooManyQueries: true}, "exception": {ExceptionCode: 241},
+		"late exception": {LateException: true}, "truncated row": {TruncatedRow: true},
+		"connection reset": {ConnReset: true}, "malformed answer": {MalformedAnswer: true},
+		"connection closed":          {CloseConn: true, Delay: 400 * time.Millisecond},
+		"connection closed, no kill": {CloseConn: true, IgnoreKill: true, Delay: 400 * time.Millisecond}}
 	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
 			var mu sync.Mutex
 			faultDue := true
-			p := startCluster(t, 2, func(_, _ int, text string) standin.Fault {
+			cluster := startCluster(t, 2, func(_, _ int, text string) standin.Fault {
 				mu.Lock()
 				defer mu.Unlock()
 				if faultDue && strings.Contains(text, "numbers") {
@@ -230,7 +231,7 @@
 				}
 				return standin.Fault{}
 			})
-			r, err := http.Post("http://"+p.httpAddr+"/?user=acme", "text/plain",
+			r, err := http.Post("http://"+cluster.httpAddr+"/?user=acme", "text/plain",
 				strings.NewReader("SELECT number FROM numbers(3) FORMAT CSV"))
 			if err != nil {
 				t.Fatal(err)
@@ -240,15 +241,15 @@
 			if err != nil || r.StatusCode != 200 || string(body) != "0\n1\n2\n" {
 				t.Errorf("%d %q %v", r.StatusCode, body, err)
 			}
-			checkNoOverlap(t, p)
+			checkNoOverlap(t, cluster)
 		})
 	}
 }
 
 // checkNoOverlap checks that no two runs of one request overlap, on the same or on different engines.
-func checkNoOverlap(t *testing.T, p *testCluster) {
+func checkNoOverlap(t *testing.T, cluster *testCluster) {
 	t.Helper()
-	all := p.runs()
+	all := cluster.runs()
 	slices.SortFunc(all, func(a, b standin.Run) int { return a.StartedAt - b.StartedAt })
 	last := map[string]standin.Run{}
 	for _, r := range all {
@@ -263,26 +264,26 @@
 // The same statement returns the same result over both protocols, and the statements of one order key run one after another,
 // whichever protocol they arrive over.
 func TestMixedProtocols(t *testing.T) {
-	p := startCluster(t, 1, func(_, n int, text string) standin.Fault {
+	cluster := startCluster(t, 1, func(_, n int, text string) standin.Fault {
 		if strings.HasPrefix(text, "INSERT") {
 			return standin.Fault{Delay: 30 * time.Millisecond}
 		}
 		return standin.Fault{}
 	})
 	ctx := context.Background()
-	conn, err := pgx.Connect(ctx, pgURL(p.pgAddr))
+	conn, err := pgx.Connect(ctx, pgURL(cluster.pgAddr))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close(ctx)
 	var a, b, c string
 	text := "SELECT a, b, c FROM sales_3.t"
-	if err := conn.QueryRow(ctx, "/* verb=lookup,txn=9b1f03aa5c7e2d41,limit=2000,team=acme */ "+text).Scan(&a, &b, &c); err != nil ||
-		a+b+c != "xyz" {
+	if err := conn.QueryRow(ctx,
+		"/* verb=lookup,txn=9b1f03aa5c7e2d41,limit=2000,team=acme */ "+text).Scan(&a, &b, &c); err != nil || a+b+c != "xyz" {
 		t.Errorf("%s%s%s, %v", a, b, c, err)
 	}
 	post := func(target, text string) (int, string) {
-		r, err := http.Post("http://"+p.httpAddr+"/?user=acme"+target, "text/plain", strings.NewReader(text))
+		r, err := http.Post("http://"+cluster.httpAddr+"/?user=acme"+target, "text/plain", strings.NewReader(text))
 		if err != nil {
 			t.Error(err)
 			return 0, ""
@@ -305,15 +306,16 @@
 		go func() {
 			defer done.Done()
 			if i%2 == 0 {
-				loadConn, err := pgx.Connect(ctx, pgURL(p.pgAddr))
+				loadConn, err := pgx.Connect(ctx, pgURL(cluster.pgAddr))
 				close(sent)
 				if err != nil {
 					t.Error(err)
 					return
 				}
 				defer loadConn.Close(ctx)
-				if _, err := loadConn.Exec(ctx, fmt.Sprintf("/* verb=load,txn=%016x,limit=15000,team=acme,unique=u%d,item=k */ %s",
-					0xabc0+i, i, load)); err != nil {
+				if _, err := loadConn.Exec(ctx,
+					fmt.Sprintf("/* verb=load,txn=%016x,limit=15000,team=acme,unique=u%d,item=k */ %s", 0xabc0+i, i,
+						load)); err != nil {
 					t.Error(err)
 				}
 				return
@@ -326,15 +328,15 @@
 		<-sent
 	}
 	done.Wait()
-	checkNoOverlap(t, p)
+	checkNoOverlap(t, cluster)
 	lastEnd, n := 0, 0
-	for _, r := range p.runs() {
+	for _, r := range cluster.runs() {
 		if !strings.HasPrefix(r.Text, "INSERT") {
 			continue
 		}
 		n++
 		if r.StartedAt < lastEnd {
-			t.Errorf("two concurrent loads of one key: %+v", r)
+			t.Errorf("two concurrent loads of one order key: %+v", r)
 		}
 		lastEnd = r.EndedAt
 	}
@@ -345,13 +347,13 @@
 
 // The database/sql driver of the client library works as well, and errors carry ClickHouse's codes.
 func TestDatabaseSQL(t *testing.T) {
-	p := startCluster(t, 1, func(_, _ int, text string) standin.Fault {
+	cluster := startCluster(t, 1, func(_, _ int, text string) standin.Fault {
 		if strings.Contains(text, "broken") {
 			return standin.Fault{ExceptionCode: 60}
 		}
 		return standin.Fault{}
 	})
-	db, err := sql.Open("clickhouse", "http://acme@"+p.httpAddr+"/default")
+	db, err := sql.Open("clickhouse", "http://acme@"+cluster.httpAddr+"/default")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -367,15 +369,16 @@
 	// Clients that disconnect during an upload or a result, or send malformed requests, do not affect other clients.
 	for _, text := range []string{"POST /?user=acme HTTP/1.1\r\nHost: x\r\nContent-Length: 1000\r\n\r\nSELECT",
 		"POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n-1\r\n",
-		"POST /?user=acme HTTP/1.1\r\nHost: x\r\nContent-Length: 62914560\r\n\r\n", "\x16\x03\x01", "GET /?user=acme&query=SELECT+number+FROM+numbers(100000) HTTP/1.1\r\nHost: x\r\n\r\n"} {
-		c, err := net.Dial("tcp", p.httpAddr)
+		"POST /?user=acme HTTP/1.1\r\nHost: x\r\nContent-Length: 62914560\r\n\r\n", "\x16\x03\x01",
+		"GET /?user=acme&query=SELECT+number+FROM+numbers(100000) HTTP/1.1\r\nHost: x\r\n\r\n"} {
+		c, err := net.Dial("tcp", cluster.httpAddr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		_, _ = c.Write([]byte(text))
 		_, _ = c.Read(make([]byte, 10))
 		_ = c.Close()
-		if r, err := http.Post("http://"+p.httpAddr+"/?user=acme", "",
+		if r, err := http.Post("http://"+cluster.httpAddr+"/?user=acme", "",
 			bytes.NewReader([]byte("SELECT number FROM numbers(2)"))); err != nil || r.StatusCode != 200 {
 			t.Errorf("after %.40q: %v", text, err)
 		} else {
--- a/cmd/thymeway/clock_test.go
+++ b/cmd/thymeway/clock_test.go
@@ -22,7 +22,7 @@
 // answerSlack is how late after the client's timeout the final answer may arrive.
 const answerSlack = 500 * time.Millisecond
 
-// testProcess is the program in a separate process, whose wall clock the test steps.
+// testProcess is the program in a separate process whose wall clock a test can shift.
 type testProcess struct {
 	t            *testing.T
 	addr         string
@@ -49,55 +49,55 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = clock.Close() })
-	s := &testProcess{t: t, addr: freeAddr(t), clock: clock, discovery: &standin.Discovery{}, log: &strings.Builder{}}
-	s.shiftClock(shift)
-	discoveryAddr, err := s.discovery.Start(1)
+	process := &testProcess{t: t, addr: freeAddr(t), clock: clock, discovery: &standin.Discovery{}, log: &strings.Builder{}}
+	process.shiftClock(shift)
+	discoveryAddr, err := process.discovery.Start(1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(s.discovery.Stop)
+	t.Cleanup(process.discovery.Stop)
 	file := filepath.Join(dir, "config.json")
-	writeConfig(t, file, groups, append([]string{"127.0.0.1:5499", s.addr, "127.0.0.1:8599", discoveryAddr}, pairs...)...)
-	s.cmd = exec.Command(os.Args[0])
-	s.cmd.Env = append(os.Environ(), append(clock.Environment(), "THYMEWAY_AS_PROGRAM=1", "EDGE_CONFIG="+file)...)
-	s.cmd.Stderr = s.log
-	if err := s.cmd.Start(); err != nil {
+	writeConfig(t, file, groups, append([]string{"127.0.0.1:5499", process.addr, "127.0.0.1:8599", discoveryAddr}, pairs...)...)
+	process.cmd = exec.Command(os.Args[0])
+	process.cmd.Env = append(os.Environ(), append(clock.Environment(), "THYMEWAY_AS_PROGRAM=1", "EDGE_CONFIG="+file)...)
+	process.cmd.Stderr = process.log
+	if err := process.cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(s.stop)
-	s.waitFor("a watch of discovery", s.discovery.HasWatcher)
-	return s
+	t.Cleanup(process.stop)
+	process.waitFor("a watch of discovery", process.discovery.HasWatcher)
+	return process
 }
 
 // stop ends the program, and prints its log if the test has failed.
-func (s *testProcess) stop() {
-	_ = s.cmd.Process.Signal(syscall.SIGTERM)
-	killTimer := time.AfterFunc(20*time.Second, func() { _ = s.cmd.Process.Kill() })
-	err := s.cmd.Wait()
+func (p *testProcess) stop() {
+	_ = p.cmd.Process.Signal(syscall.SIGTERM)
+	killTimer := time.AfterFunc(20*time.Second, func() { _ = p.cmd.Process.Kill() })
+	err := p.cmd.Wait()
 	killTimer.Stop()
 	if err != nil {
-		s.t.Errorf("the program ended with %v", err)
+		p.t.Errorf("the program ended with %v", err)
 	}
-	if s.t.Failed() {
-		s.t.Logf("log of the program:\n%s", s.log)
+	if p.t.Failed() {
+		p.t.Logf("log of the program:\n%s", p.log)
 	}
 }
 
 // waitFor waits until ready returns true, and fails the test after 30 s.
-func (s *testProcess) waitFor(what string, ready func() bool) {
-	s.t.Helper()
+func (p *testProcess) waitFor(what string, ready func() bool) {
+	p.t.Helper()
 	for deadline := time.Now().Add(30 * time.Second); !ready(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			s.t.Fatalf("timed out waiting for %s", what)
+			p.t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
 
 // shiftClock sets the offset of the program's wall clock.
-func (s *testProcess) shiftClock(offset time.Duration) {
-	s.t.Helper()
-	if err := s.clock.Shift(offset); err != nil {
-		s.t.Fatal(err)
+func (p *testProcess) shiftClock(offset time.Duration) {
+	p.t.Helper()
+	if err := p.clock.Shift(offset); err != nil {
+		p.t.Fatal(err)
 	}
 }
 
@@ -108,30 +108,31 @@
 }
 
 // served reports whether the request succeeded. A connection that ended without a final answer fails the test.
-func (s *testProcess) served(r result) bool {
-	s.t.Helper()
+func (p *testProcess) served(r result) bool {
+	p.t.Helper()
 	var failure *pgconn.PgError
 	if r.err != nil && !errors.As(r.err, &failure) {
-		s.t.Errorf("the client has no answer after %v: %v", r.elapsed, r.err)
+		p.t.Errorf("the client has no answer after %v: %v", r.elapsed, r.err)
 	}
 	return r.err == nil
 }
 
 // sendRequest sends a request of a class and delivers its result on the returned channel. The client waits until long after
 // the timeout that the request carries.
-func (s *testProcess) sendRequest(class string, limit time.Duration) <-chan result {
-	s.t.Helper()
+func (p *testProcess) sendRequest(class string, limit time.Duration) <-chan result {
+	p.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), limit+20*time.Second)
-	conn, err := pgx.Connect(ctx, pgURL(s.addr))
+	conn, err := pgx.Connect(ctx, pgURL(p.addr))
 	if err != nil {
-		s.t.Fatal(err)
+		p.t.Fatal(err)
 	}
-	s.requestCount++
-	text := fmt.Sprintf("/* verb=%s,txn=%016x,limit=%d,team=acme,unique=u%d,item=k1,cpu=1000 */ INSERT INTO sales_17.orders SELECT a FROM staging.b",
-		class, s.requestCount, limit.Milliseconds(), s.requestCount)
+	p.requestCount++
+	text := fmt.Sprintf(
+		"/* verb=%s,txn=%016x,limit=%d,team=acme,unique=u%d,item=k1,cpu=1000 */ INSERT INTO sales_17.orders SELECT a FROM staging.b",
+		class, p.requestCount, limit.Milliseconds(), p.requestCount)
 	if class == "lookup" {
 		text = fmt.Sprintf("/* verb=lookup,txn=%016x,limit=%d,team=acme,cpu=1000 */ SELECT a FROM sales_17.orders",
-			s.requestCount, limit.Milliseconds())
+			p.requestCount, limit.Milliseconds())
 	}
 	done, sent := make(chan result, 1), time.Now()
 	go func() {
@@ -177,23 +178,23 @@
 		fail := make(chan struct{})
 		first, addr := startGroup(t, func(standin.Query) standin.Answer { return standin.Answer{Until: fail, Status: 500} })
 		second, later := startGroup(t, nil)
-		s := startTestProcess(t, []string{listedGroup("s-1", addr)}, `"dedupWindowMs": 12000`,
+		process := startTestProcess(t, []string{listedGroup("s-1", addr)}, `"dedupWindowMs": 12000`,
 			fmt.Sprintf(`"dedupWindowMs": %d`, window.Milliseconds()))
-		answer := s.sendRequest("load", 4*time.Second)
-		s.waitFor("the first attempt", func() bool { return len(first.Queries()) == 1 })
+		answer := process.sendRequest("load", 4*time.Second)
+		process.waitFor("the first attempt", func() bool { return len(first.Queries()) == 1 })
 		sent := first.Queries()[0].ReceivedAt
-		s.discovery.Publish(strings.Replace(listedGroup("s-1", addr), "Ready", "Terminating", 1))
+		process.discovery.Publish(strings.Replace(listedGroup("s-1", addr), "Ready", "Terminating", 1))
 		time.Sleep(200 * time.Millisecond)
 		close(fail)
 		time.Sleep(200 * time.Millisecond)
-		s.shiftClock(step)
+		process.shiftClock(step)
 		time.Sleep(time.Until(sent.Add(window + 500*time.Millisecond)))
-		s.discovery.Publish(listedGroup("s-2", later))
+		process.discovery.Publish(listedGroup("s-2", later))
 		r := <-answer
 		for _, q := range append(first.Queries()[1:], second.Queries()...) {
 			t.Errorf("sent again %v after the first attempt, window %v", q.ReceivedAt.Sub(sent), window)
 		}
-		if s.served(r); r.elapsed > 4*time.Second+answerSlack {
+		if process.served(r); r.elapsed > 4*time.Second+answerSlack {
 			t.Errorf("answered after %v, limit 4s", r.elapsed)
 		}
 	})
@@ -205,12 +206,12 @@
 	forEachClockStep(t, func(t *testing.T, step time.Duration) {
 		const limit = 1500 * time.Millisecond
 		g, addr := startGroup(t, func(standin.Query) standin.Answer { return standin.Answer{RunTime: time.Minute} })
-		s := startTestProcess(t, []string{listedGroup("s-1", addr)})
-		answer := s.sendRequest("lookup", limit)
-		s.waitFor("the attempt", func() bool { return len(g.Queries()) > 0 })
-		s.shiftClock(step)
+		process := startTestProcess(t, []string{listedGroup("s-1", addr)})
+		answer := process.sendRequest("lookup", limit)
+		process.waitFor("the attempt", func() bool { return len(g.Queries()) > 0 })
+		process.shiftClock(step)
 		r := <-answer
-		if s.served(r) || r.elapsed > limit+answerSlack || r.elapsed < limit-200*time.Millisecond {
+		if process.served(r) || r.elapsed > limit+answerSlack || r.elapsed < limit-200*time.Millisecond {
 			t.Errorf("answered after %v (%v), limit %v", r.elapsed, r.err, limit)
 		}
 	})
@@ -221,11 +222,11 @@
 func TestRunningRequestIsFailedWhenWallClockSteps(t *testing.T) {
 	forEachClockStep(t, func(t *testing.T, step time.Duration) {
 		g, addr := startGroup(t, func(standin.Query) standin.Answer { return standin.Answer{RunTime: 1200 * time.Millisecond} })
-		s := startTestProcess(t, []string{listedGroup("s-1", addr)})
-		answer := s.sendRequest("lookup", 3*time.Second)
-		s.waitFor("the attempt", func() bool { return len(g.Queries()) > 0 })
-		s.shiftClock(step)
-		if r := <-answer; !s.served(r) {
+		process := startTestProcess(t, []string{listedGroup("s-1", addr)})
+		answer := process.sendRequest("lookup", 3*time.Second)
+		process.waitFor("the attempt", func() bool { return len(g.Queries()) > 0 })
+		process.shiftClock(step)
+		if r := <-answer; !process.served(r) {
 			t.Errorf("after %v: %v", r.elapsed, r.err)
 		}
 		if n := len(g.Queries()); n != 1 {
@@ -241,14 +242,14 @@
 		const limit = 4 * time.Second
 		const slack = 150 * time.Millisecond
 		g, addr := startGroup(t, nil)
-		s := startTestProcess(t, []string{strings.Replace(listedGroup("s-1", addr), "Ready", "Terminating", 1)})
+		process := startTestProcess(t, []string{strings.Replace(listedGroup("s-1", addr), "Ready", "Terminating", 1)})
 		sent := time.Now()
-		answer := s.sendRequest("lookup", limit)
+		answer := process.sendRequest("lookup", limit)
 		time.Sleep(300 * time.Millisecond)
-		s.shiftClock(step)
+		process.shiftClock(step)
 		time.Sleep(time.Second)
-		s.discovery.Publish(listedGroup("s-2", addr))
-		if r := <-answer; !s.served(r) {
+		process.discovery.Publish(listedGroup("s-2", addr))
+		if r := <-answer; !process.served(r) {
 			t.Errorf("after %v: %v", r.elapsed, r.err)
 		}
 		for _, q := range g.Queries() {
@@ -260,19 +261,20 @@
 }
 
 // Guards against overloading a worker group that has just started, or leaving it idle for too long, if the wall clock is wrong
-// when the program starts: discovery gives the start times by the right clock.
+// when the program starts: the discovery service reports start times by the correct clock.
 func TestColdWorkerGroupIsOverloadedWhenWallClockIsWrong(t *testing.T) {
 	forEachClockStep(t, func(t *testing.T, offset time.Duration) {
 		const requests = 100
 		g, addr := startGroup(t, nil)
-		s := startShiftedTestProcess(t, offset, []string{strings.Replace(listedGroup("s-1", addr), "Ready", "Terminating", 1)},
+		process := startShiftedTestProcess(t, offset,
+			[]string{strings.Replace(listedGroup("s-1", addr), "Ready", "Terminating", 1)},
 			`"warmAfterMs": 14000`, `"warmAfterMs": 4000`)
 		started := time.Now()
-		s.discovery.Publish(strings.Replace(listedGroup("s-2", addr), `"up_since_ms": 0`,
+		process.discovery.Publish(strings.Replace(listedGroup("s-2", addr), `"up_since_ms": 0`,
 			fmt.Sprintf(`"up_since_ms": %d`, started.UnixMilli()), 1))
 		answers := make([]<-chan result, requests)
 		for i := range answers {
-			answers[i] = s.sendRequest("lookup", 12*time.Second)
+			answers[i] = process.sendRequest("lookup", 12*time.Second)
 		}
 		// While the group is cold, the settings allow 2.5 times 0.34 of what 12 cores do at 85% in 3 s, that is 26 requests of
 		// 1 s of work, plus a tolerance of 3 * sqrt(26) + 3.
@@ -283,7 +285,7 @@
 		}
 		served := 0
 		for _, results := range answers {
-			if r := <-results; s.served(r) {
+			if r := <-results; process.served(r) {
 				served++
 			}
 		}
--- a/cmd/thymeway/descriptors_test.go
+++ b/cmd/thymeway/descriptors_test.go
@@ -16,8 +16,8 @@
 	"thymeway/internal/standin"
 )
 
-// Guards against the end of the program when accept fails because all file descriptors are in use. It must wait until
-// descriptors are free, and then serve again.
+// Guards against the program ending when accept fails because all file descriptors are in use. It must wait until descriptors
+// are free, and then serve again.
 func TestProgramEndsWhenAcceptHasNoDescriptor(t *testing.T) {
 	g, engine := startGroup(t, nil)
 	discovery := &standin.Discovery{}
@@ -73,7 +73,8 @@
 	}
 	defer conn.Close(ctx)
 	var x, y, z string
-	err = conn.QueryRow(ctx, "/* verb=lookup,txn=000000000000000a,limit=3000,team=acme */ SELECT a FROM sales_1.t").Scan(&x, &y, &z)
+	err = conn.QueryRow(ctx,
+		"/* verb=lookup,txn=000000000000000a,limit=3000,team=acme */ SELECT a FROM sales_1.t").Scan(&x, &y, &z)
 	if err != nil || len(g.Queries()) != 1 {
 		t.Errorf("%v, %d queries", errors.Join(err), len(g.Queries()))
 	}
--- a/cmd/thymeway/ending_test.go
+++ b/cmd/thymeway/ending_test.go
@@ -17,8 +17,8 @@
 	"thymeway/internal/standin"
 )
 
-// maxInTransit bounds how long before the end of its connection a request may be sent without getting an answer: it may
-// still be on its way when the program closes the connection.
+// maxInTransit is how long before the end of its connection a request may be sent and still go unanswered: it may be in transit
+// when the program closes the connection.
 const maxInTransit = 50 * time.Millisecond
 
 // testClient sends requests on one connection, one after another, until the connection ends.
@@ -77,16 +77,16 @@
 			})
 			groups = append(groups, listedGroup(fmt.Sprint("s-", i), addr))
 		}
-		s := startTestProcess(t, groups)
+		process := startTestProcess(t, groups)
 		ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 		var numbers atomic.Int64
 		faults := make(chan error, clients)
 		for range clients {
-			c := &testClient{addr: s.addr, lastNumber: &numbers, random: rand.New(rand.NewSource(random.Int63()))}
+			c := &testClient{addr: process.addr, lastNumber: &numbers, random: rand.New(rand.NewSource(random.Int63()))}
 			go func() { faults <- c.run(ctx) }()
 		}
 		time.Sleep(300 * time.Millisecond)
-		_ = s.cmd.Process.Signal(syscall.SIGTERM)
+		_ = process.cmd.Process.Signal(syscall.SIGTERM)
 		for range clients {
 			if err := <-faults; err != nil {
 				t.Errorf("seed %d: %v", seed, err)
--- a/cmd/thymeway/fleet_test.go
+++ b/cmd/thymeway/fleet_test.go
@@ -58,9 +58,9 @@
 	}
 }
 
-// The program serves with hundreds and with 1,024 coordinators and worker groups, within 32 MB and 256 descriptors. It accepts
-// a complete list in one line from discovery, moves to another discovery service on SIGHUP, ends on SIGTERM, and starts again
-// after SIGKILL.
+// The program works with hundreds and with 1,024 coordinators and worker groups, within 32 MB and 256 descriptors. It accepts a
+// complete list in one line from the discovery service, changes to another discovery service on SIGHUP, ends on SIGTERM, and
+// starts again after SIGKILL.
 func TestLargeFleet(t *testing.T) {
 	engine := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Page-Count", "1")
--- a/cmd/thymeway/main.go
+++ b/cmd/thymeway/main.go
@@ -34,7 +34,7 @@
 	readRetryDelay   = 50 * time.Millisecond
 )
 
-// commands is the command line, as kong parses it.
+// commands defines the commands and flags that kong parses.
 type commands struct {
 	Config   string   `help:"Our own settings." default:"${own}" env:"THYMEWAY_INI" type:"path" placeholder:"FILE"`
 	Serve    struct{} `cmd:"" default:"1" help:"Serve until SIGTERM; the default. EDGE_CONFIG names the platform's configuration."`
@@ -45,7 +45,7 @@
 
 func main() {
 	slog.SetDefault(logs.New(os.Stderr, slog.LevelInfo))
-	// Danger: a SIGHUP without a handler ends the program, so the handler is installed before anything else.
+	// A SIGHUP without a handler ends the program, so the handler is installed before anything else.
 	signals := make(chan os.Signal, 16)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	os.Exit(run(os.Args[1:], os.Getenv, os.Stdout, signals))
--- a/cmd/thymeway/main_test.go
+++ b/cmd/thymeway/main_test.go
@@ -32,7 +32,8 @@
 	t.Helper()
 	text := string(configtest.ExampleText(t))
 	if len(groups) > 0 {
-		text = regexp.MustCompile(`(?s)"members": \[.*?\]`).ReplaceAllLiteralString(text, `"members": [`+strings.Join(groups, ",")+`]`)
+		text = regexp.MustCompile(`(?s)"members": \[.*?\]`).ReplaceAllLiteralString(text,
+			`"members": [`+strings.Join(groups, ",")+`]`)
 	}
 	for i := 0; i < len(pairs); i += 2 {
 		if !strings.Contains(text, pairs[i]) {
@@ -46,7 +47,9 @@
 
 // listedGroup returns a worker group in the form in which discovery lists it.
 func listedGroup(id, addr string) string {
-	return fmt.Sprintf(`{"id": %q, "host_port": %q, "locality": "room-a", "flavor": "std-12", "phase": "Ready", "size": 1, "up_since_ms": 0}`, id, addr)
+	return fmt.Sprintf(
+		`{"id": %q, "host_port": %q, "locality": "room-a", "flavor": "std-12", "phase": "Ready", "size": 1, "up_since_ms": 0}`,
+		id, addr)
 }
 
 // pgURL returns the connection URL for PostgreSQL clients.
--- a/cmd/thymeway/measure_test.go
+++ b/cmd/thymeway/measure_test.go
@@ -87,8 +87,8 @@
 			b.Cleanup(func() { _ = conn.Close(context.Background()) })
 			all = append(all, func(n int64) error {
 				var x, y, z string
-				return conn.QueryRow(context.Background(), fmt.Sprintf("/* verb=lookup,txn=%016x,limit=3000,team=acme,cpu=5 */ "+text,
-					n, n)).Scan(&x, &y, &z)
+				return conn.QueryRow(context.Background(),
+					fmt.Sprintf("/* verb=lookup,txn=%016x,limit=3000,team=acme,cpu=5 */ "+text, n, n)).Scan(&x, &y, &z)
 			})
 		default:
 			addr := cluster.httpAddr
@@ -127,7 +127,8 @@
 		{"open", "POST /?user=acme HTTP/1.1\r\nHost: x\r\nContent-Length: 38\r\n\r\nSELECT a FROM sales_17.orders -- slow  "}} {
 		b.Run(text.name, func(b *testing.B) {
 			for b.Loop() {
-				cluster := startCluster(b, 1, func(int, int, string) standin.Fault { return standin.Fault{Delay: 5 * time.Second} })
+				cluster := startCluster(b, 1,
+					func(int, int, string) standin.Fault { return standin.Fault{Delay: 5 * time.Second} })
 				before := heap()
 				var conns []net.Conn
 				for range 300 {
--- a/examples/toy/main.go
+++ b/examples/toy/main.go
@@ -1,5 +1,5 @@
-// Command toy runs a fake worker group and a fake discovery service for examples/config.json, to try the coordinator by
-// hand. The worker group answers every statement with three rows after a short delay.
+// Command toy runs a fake worker group and a fake discovery service for trying out the coordinator with examples/config.json.
+// The worker group answers every statement with three rows after a short delay.
 package main
 
 import (
@@ -53,7 +53,8 @@
 	log.Fatal(http.ListenAndServe(*engine, nil))
 }
 
-// serveDiscovery sends a line with the number of the last event each second. The list of worker groups never changes.
+// serveDiscovery sends a heartbeat line to each connection once a second. Its revision is always 1, as the list of worker groups
+// never changes.
 func serveDiscovery(l net.Listener) {
 	for {
 		c, err := l.Accept()
--- a/internal/accounting/counters.go
+++ b/internal/accounting/counters.go
@@ -15,7 +15,7 @@
 // LatencyBounds are the upper bounds of the latency buckets, in ms.
 var LatencyBounds = []float64{5, 10, 25, 50, 100, 250, 500, 1000, 2500, 5000, 10000, 20000}
 
-// Counts holds the counters of one key. Once it has ended, each accepted request is in one of Served, Refused, Failed and
+// Counts holds the counters of one key. Each accepted request that has ended is counted in one of Served, Refused, Failed and
 // Dropped.
 type Counts struct {
 	Accepted, MarkedRepeats          uint64 // of the accepted requests, MarkedRepeats were marked as repeats by their client
@@ -34,7 +34,7 @@
 // The endings.
 const (
 	Served  Ending = iota
-	Refused        // not answered; a retry does no harm
+	Refused        // turned away without a result; a retry is safe
 	Failed         // ended with an error
 	Dropped        // the client disconnected first
 )
@@ -43,16 +43,16 @@
 type Counters struct{ byKey map[Key]*Counts }
 
 // CountsFor returns the counts of a key, to be modified by the caller. It creates them if necessary.
-func (b *Counters) CountsFor(k Key) *Counts {
-	if b.byKey == nil {
-		b.byKey = map[Key]*Counts{}
+func (c *Counters) CountsFor(k Key) *Counts {
+	if c.byKey == nil {
+		c.byKey = map[Key]*Counts{}
 	}
-	c := b.byKey[k]
-	if c == nil {
-		c = &Counts{}
-		b.byKey[k] = c
+	counts := c.byKey[k]
+	if counts == nil {
+		counts = &Counts{}
+		c.byKey[k] = counts
 	}
-	return c
+	return counts
 }
 
 // RecordEnd counts the end of a request of the given value. elapsed and target are in ms; a result after target counts for
@@ -81,7 +81,7 @@
 // Open returns the number of requests that have not ended.
 func (c *Counts) Open() uint64 { return c.Accepted - c.Served - c.Refused - c.Failed - c.Dropped }
 
-// Add adds the counts of o.
+// Add adds the counts of o to c.
 func (c *Counts) Add(o *Counts) {
 	for _, p := range [][2]*uint64{{&c.Accepted, &o.Accepted}, {&c.MarkedRepeats, &o.MarkedRepeats}, {&c.Served, &o.Served},
 		{&c.Refused, &o.Refused}, {&c.Failed, &o.Failed}, {&c.Dropped, &o.Dropped}, {&c.Late, &o.Late},
@@ -102,10 +102,10 @@
 }
 
 // Rows returns copies of all counts, sorted by key.
-func (b *Counters) Rows() []Row {
-	rows := make([]Row, 0, len(b.byKey))
-	for k, c := range b.byKey {
-		rows = append(rows, Row{k, *c})
+func (c *Counters) Rows() []Row {
+	rows := make([]Row, 0, len(c.byKey))
+	for k, counts := range c.byKey {
+		rows = append(rows, Row{k, *counts})
 	}
 	slices.SortFunc(rows, func(x, y Row) int {
 		return cmp.Or(cmp.Compare(x.Tenant, y.Tenant), cmp.Compare(x.Class, y.Class), cmp.Compare(x.Protocol, y.Protocol))
--- a/internal/accounting/counters_test.go
+++ b/internal/accounting/counters_test.go
@@ -8,7 +8,7 @@
 
 // Each request must be counted once, however it ends: accepted requests are the sum of the endings and the open requests,
 // and adding two Counts equals counting all requests in one.
-func TestEverythingIsCountedOnce(t *testing.T) {
+func TestRequestsAreCountedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var one, a, b Counts
 		n := rapid.IntRange(0, 50).Draw(t, "requests")
@@ -48,6 +48,7 @@
 	})
 }
 
+// Rows must be sorted by key, and must be copies that later counts and writes do not share.
 func TestRows(t *testing.T) {
 	var counters Counters
 	counters.CountsFor(Key{"b", "x", "postgres"}).Accepted++
--- a/internal/chengine/fleet.go
+++ b/internal/chengine/fleet.go
@@ -1,5 +1,6 @@
 // Package chengine runs attempts on engines that speak ClickHouse's HTTP interface. Each query occupies one connection until
-// its answer is complete. If that connection breaks, the engine is asked by query_id whether the query is still running.
+// its response is complete. If that connection breaks, the package asks the engine by query_id whether the query is still
+// running.
 package chengine
 
 import (
@@ -22,14 +23,14 @@
 	"thymeway/internal/transport"
 )
 
-// Times are in ms.
+// Limits on calls to engines. Times are in ms.
 const (
-	controlTimeout     = 500.0    // for the answer to a control query: KILL QUERY, or whether a query is running
-	probeTimeout       = 250.0    // for the answer to a probe
+	controlTimeout     = 500.0    // for the response to a control query: KILL QUERY or the check whether a query is running
+	probeTimeout       = 250.0    // for the response to a probe
 	pollPause          = 100.0    // between two checks whether a query is still running
-	answerSlack        = 200.0    // after the time limit of a query, for its answer to arrive
+	responseSlack      = 200.0    // for the response to arrive after the time limit of a query
 	progressInterval   = 500      // between two progress headers, as requested from the engine
-	maxControlBytes    = 64 << 10 // of the answer to a control query or probe
+	maxControlBytes    = 64 << 10 // limit for the response to a control query or probe
 	codeTooManyQueries = 202      // TOO_MANY_SIMULTANEOUS_QUERIES: the query was refused and has not run
 )
 
@@ -38,19 +39,19 @@
 	Dialer           transport.Dialer
 	Deadlines        *deadline.Queue
 	Now              func() float64
-	Watcher          coordinator.AttemptListener
+	Listener         coordinator.AttemptListener
 	Faults           *faultlog.FaultLog
 	ConnIdleTimeout  float64 // ms after which an idle connection is closed
-	MaxConns         int     // limit over all engines
-	MaxResultBytes   int     // of one result
-	MaxBufferedBytes int     // of all results being received; 0: no limit
-	// Credentials returns the login for engines of a kind. If it is nil or returns no user, none is sent.
+	MaxConns         int     // limit for the connections to all engines together
+	MaxResultBytes   int     // limit for one result
+	MaxBufferedBytes int     // limit for all results being received together; 0: no limit
+	// Credentials returns the login for engines of a kind. If it is nil or returns an empty user, no login is sent.
 	Credentials func(kind string) (user, password string)
 
 	engines       directory.Directory[*engine]
 	attempts      map[attemptKey]*attempt
 	conns         int
-	bufferedBytes int // of all answers being received
+	bufferedBytes int // bytes of all response bodies being received
 }
 
 // attemptKey identifies an attempt by its request and its number within the request.
@@ -59,16 +60,16 @@
 	number  int
 }
 
-// Update adds or updates a listed engine. If it is not healthy, attempts that were not yet sent to it are ended.
-func (f *Fleet) Update(m coordinator.ListedEngine) {
-	if e, known := f.engines.Get(m.ID); known && m.Status != choice.Healthy {
+// Update adds or updates a listed engine. If it is not healthy, attempts whose query was not yet written to it end as expired.
+func (f *Fleet) Update(listed coordinator.ListedEngine) {
+	if e, known := f.engines.Get(listed.ID); known && listed.Status != choice.Healthy {
 		f.finishUnsent(e)
 	}
-	f.engines.Update(m.ID, m.Addr, m.Status == choice.Removed,
-		func(record directory.Record) *engine { return &engine{fleet: f, Record: record, kind: m.Kind} })
+	f.engines.Update(listed.ID, listed.Addr, listed.Status == choice.Removed,
+		func(record directory.Record) *engine { return &engine{fleet: f, Record: record, kind: listed.Kind} })
 }
 
-// RemoveUnlisted processes a complete list: engines that it does not name are removed.
+// RemoveUnlisted removes the engines that a complete list does not name.
 func (f *Fleet) RemoveUnlisted(named map[string]bool) {
 	for _, e := range f.engines.All() {
 		if !named[e.ID] {
@@ -92,19 +93,19 @@
 	}
 }
 
-// InFlight is the number of attempts that have not ended.
+// InFlight returns the number of attempts that have not ended.
 func (f *Fleet) InFlight() int { return len(f.attempts) }
 
-// Probe checks whether an engine answers.
+// Probe checks whether an engine answers, and reports the outcome to Listener.ProbeEnded.
 func (f *Fleet) Probe(id string) {
 	e, _ := f.engines.Get(id)
 	startedAt := f.Now()
-	report := func(a *answer, reason transport.EndReason) {
+	report := func(r *response, reason transport.EndReason) {
 		outcome := coordinator.Outcome{Engine: id, EndReason: reason, Duration: f.Now() - startedAt}
-		if a != nil && a.Status != 200 {
+		if r != nil && r.Status != 200 {
 			outcome.EndReason = transport.Full
 		}
-		f.Watcher.ProbeEnded(outcome)
+		f.Listener.ProbeEnded(outcome)
 	}
 	if e == nil || e.Addr == "" {
 		report(nil, transport.Unreachable)
@@ -142,17 +143,17 @@
 	written       bool  // the query was written to a connection
 	queryCall     *call // carries the query
 	controlCall   *call // the KILL QUERY or check in progress
-	cancelled     bool
-	tooLateToSend bool // the attempt had expired when its connection became available, so the query was not written
-	connLost      bool // the query's connection broke, so its answer can't arrive any more
+	cancelled     bool  // KILL QUERY was sent
+	tooLateToSend bool  // the attempt had expired when its connection became available, so the query was not written
+	connLost      bool  // the query's connection broke, so the response can't arrive any more
 	finished      bool
 	endReason     transport.EndReason // the reason to report once the query is known not to be running
 	outcome       coordinator.Outcome
-	waitTimer     deadline.Entry // fires when the wait for the attempt is over
+	waitTimer     deadline.Entry // fires when the client must be answered, and once more responseSlack later
 	retryTimer    deadline.Entry // fires for the next check whether the query is running
 }
 
-// Send starts an attempt.
+// Send starts an attempt. Its outcome is reported to Listener.AttemptEnded.
 func (f *Fleet) Send(request coordinator.Attempt) {
 	e, _ := f.engines.Get(request.Engine)
 	a := &attempt{Attempt: request, fleet: f, engine: e, startedAt: f.Now(),
@@ -171,22 +172,22 @@
 		switch {
 		case !a.written:
 			a.finish(transport.Unreachable)
-		case f.Now() >= a.WaitUntil+answerSlack: // max_execution_time is over: the engine has ended the query itself
+		case f.Now() >= a.WaitUntil+responseSlack: // max_execution_time is over: the engine has ended the query itself
 			a.finish(a.endReason)
 		default:
-			// Danger: without a confirmation from the engine the query may still be running. The client is answered now, and the
-			// end of the attempt is reported once it is proven.
-			f.Watcher.RequestOverdue(a.ID)
+			// The client is answered now. The query may still be running, so the end of the attempt is reported only when the
+			// engine confirms it or max_execution_time is over.
+			f.Listener.RequestOverdue(a.ID)
 			if !a.cancelled {
 				a.cancel(transport.NoAnswer)
 			}
 			if !a.finished {
-				f.Deadlines.Set(&a.waitTimer, a.WaitUntil+answerSlack)
+				f.Deadlines.Set(&a.waitTimer, a.WaitUntil+responseSlack)
 			}
 		}
 	}
 	f.Deadlines.Set(&a.waitTimer, a.WaitUntil)
-	a.queryCall = &call{build: a.buildQuery, timeout: a.WaitUntil - f.Now() + answerSlack, maxBodyBytes: f.MaxResultBytes,
+	a.queryCall = &call{build: a.buildQuery, timeout: a.WaitUntil - f.Now() + responseSlack, maxBodyBytes: f.MaxResultBytes,
 		progress: a.reportProgress, done: a.queryDone}
 	a.engine.start(a.queryCall)
 }
@@ -242,32 +243,32 @@
 	if json.Unmarshal([]byte(value), &rows) != nil || a.finished || a.cancelled {
 		return
 	}
-	read, err1 := strconv.ParseFloat(rows.Read, 64)
-	total, err2 := strconv.ParseFloat(rows.Total, 64)
-	if err1 == nil && err2 == nil && total > 0 {
-		a.fleet.Watcher.NoticeReceived(a.ID, a.Engine, a.Number, choice.NoticeProgress, math.Max(0, math.Min(read/total, 1)))
+	read, readErr := strconv.ParseFloat(rows.Read, 64)
+	total, totalErr := strconv.ParseFloat(rows.Total, 64)
+	if readErr == nil && totalErr == nil && total > 0 {
+		a.fleet.Listener.NoticeReceived(a.ID, a.Engine, a.Number, choice.NoticeProgress, math.Max(0, math.Min(read/total, 1)))
 	}
 }
 
 // queryDone handles the end of the query's call. Only a connection that was never established proves that nothing ran.
-func (a *attempt) queryDone(response *answer, reason transport.EndReason) {
+func (a *attempt) queryDone(r *response, reason transport.EndReason) {
 	a.queryCall = nil
 	switch {
 	case a.finished:
-	case response != nil && a.cancelled:
+	case r != nil && a.cancelled:
 		a.finish(a.endReason)
-	case response != nil:
-		a.processAnswer(response)
+	case r != nil:
+		a.processResponse(r)
 	case a.tooLateToSend:
 		a.finish(transport.Expired)
 	case !a.written && (reason == transport.ConnRefused || reason == transport.NoDescriptor):
 		a.finish(reason)
 	case !a.written:
 		a.finish(transport.Unreachable)
-	case a.cancelled: // the checks whether it is running go on
+	case a.cancelled: // kill and checkRunning finish the attempt
 	case reason == transport.NoDescriptor: // the results being received exceed MaxBufferedBytes
 		a.cancel(transport.Failed)
-	case reason == transport.Malformed: // the answer can't be parsed, and the query may still be running
+	case reason == transport.Malformed: // the response can't be parsed, and the query may still be running
 		a.cancel(transport.Malformed)
 	default:
 		a.connLost, a.endReason = true, transport.QueryLost
@@ -275,12 +276,13 @@
 	}
 }
 
-// processAnswer finishes the attempt according to the complete answer to its query. Danger: an error that occurs after the
-// engine has sent status 200 is written into the body, where it would be taken for rows of the result.
-func (a *attempt) processAnswer(response *answer) {
-	code := response.Get("x-clickhouse-exception-code")
-	if code == "" && response.Status != 200 {
-		if _, rest, ok := strings.Cut(string(response.body[:min(len(response.body), 40)]), "Code: "); ok {
+// processResponse finishes the attempt according to the complete response to its query. Status 200 does not prove success: an
+// engine that fails after it has sent the status writes the exception into the body, where it would be read as rows of the
+// result.
+func (a *attempt) processResponse(r *response) {
+	code := r.Get("x-clickhouse-exception-code")
+	if code == "" && r.Status != 200 {
+		if _, rest, ok := strings.Cut(string(r.body[:min(len(r.body), 40)]), "Code: "); ok {
 			code, _, _ = strings.Cut(rest, ".")
 		}
 	}
@@ -288,15 +290,15 @@
 	case code == strconv.Itoa(codeTooManyQueries):
 		a.finish(transport.Full)
 	case rejectionCodes[code]:
-		a.outcome.Message = strings.TrimSpace(string(response.body[:min(len(response.body), maxMessageBytes)]))
+		a.outcome.Message = strings.TrimSpace(string(r.body[:min(len(r.body), maxMessageBytes)]))
 		a.finish(transport.Rejected)
-	case code != "" || response.Status != 200:
+	case code != "" || r.Status != 200:
 		a.finish(transport.Failed)
-	case endsWithException(response):
-		a.fleet.Faults.Add("engine-fault-behind-status", "engine", a.Engine, "bytes", len(response.body))
+	case endsWithException(r):
+		a.fleet.Faults.Add("engine-fault-behind-status", "engine", a.Engine, "bytes", len(r.body))
 		a.finish(transport.Failed)
 	default:
-		set, err := result.Parse(response.body)
+		set, err := result.Parse(r.body)
 		if err != nil {
 			a.fleet.Faults.Add("engine-spoilt", "engine", a.Engine, "what", "result", "error", err)
 			a.finish(transport.Failed)
@@ -304,17 +306,17 @@
 		}
 		a.outcome.Result = set
 		a.outcome.Duration = a.fleet.Now() - a.startedAt
-		elapsed, mem := parseSummary(response.Get("x-clickhouse-summary"))
+		elapsed, mem := parseSummary(r.Get("x-clickhouse-summary"))
 		a.outcome.Work, a.outcome.Mem = elapsed*a.Threads, mem // the scheduler counts the work of all threads
 		a.finish(transport.Served)
 	}
 }
 
-const maxMessageBytes = 2000 // of an exception's text that are passed on to the client
+const maxMessageBytes = 2000 // longest part of an exception's text that is passed on to the client
 
 // rejectionCodes are the exception codes with which an engine rejects a query while analyzing it: nothing has run, and any
-// other engine would reject it too. Danger: a code that may also occur after rows were read or written must not be listed, as
-// such a query may have had effects.
+// other engine would reject it too. A code that may also occur after rows were read or written must not be listed, because a
+// query that failed with it may have had effects.
 var rejectionCodes = map[string]bool{
 	"16": true, "42": true, "43": true, "46": true, "47": true, "60": true, "62": true, "81": true, "115": true, "215": true,
 	"457": true, "497": true,
@@ -322,17 +324,17 @@
 
 // endsWithException reports whether a body ends with an exception. Newer engines mark it with a random tag, announced in a
 // header, that no row can contain; older engines write it as the last line.
-func endsWithException(response *answer) bool {
-	if tag := response.Get("x-clickhouse-exception-tag"); tag != "" {
-		return bytes.Contains(response.body, []byte("__exception__\r\n"+tag))
+func endsWithException(r *response) bool {
+	if tag := r.Get("x-clickhouse-exception-tag"); tag != "" {
+		return bytes.Contains(r.body, []byte("__exception__\r\n"+tag))
 	}
-	body := bytes.TrimRight(response.body, "\r\n")
+	body := bytes.TrimRight(r.body, "\r\n")
 	lastLine := body[bytes.LastIndexByte(body, '\n')+1:]
 	return bytes.HasPrefix(lastLine, []byte("Code: ")) && bytes.Contains(lastLine, []byte("DB::Exception: ")) ||
-		bytes.Contains(response.body, []byte("\r\n__exception__\r\n"))
+		bytes.Contains(r.body, []byte("\r\n__exception__\r\n"))
 }
 
-// parseSummary returns the elapsed time in ms and the memory in MB of a query, from the summary header of its answer. The
+// parseSummary returns the elapsed time in ms and the memory in MB of a query, from the summary header of its response. The
 // summary does not contain the CPU time.
 func parseSummary(text string) (elapsed, mem float64) {
 	var fields struct {
@@ -375,26 +377,26 @@
 		a.controlCall.abandon()
 		a.controlCall = nil
 	}
-	a.kill(func(*answer, transport.EndReason) { a.checkRunning() })
+	a.kill(func(*response, transport.EndReason) { a.checkRunning() })
 }
 
-// kill sends KILL QUERY over another connection, and calls done with the engine's answer. done may be nil.
-func (a *attempt) kill(done func(*answer, transport.EndReason)) {
+// kill sends KILL QUERY over another connection, and calls done with the engine's response. done may be nil.
+func (a *attempt) kill(done func(*response, transport.EndReason)) {
 	if done == nil {
-		done = func(*answer, transport.EndReason) {}
+		done = func(*response, transport.EndReason) {}
 	}
 	a.runControlQuery("KILL QUERY WHERE query_id = '"+a.queryID+"' ASYNC", done)
 }
 
-// runControlQuery sends a short query that concerns this attempt's query. At most one is in progress at a time.
-func (a *attempt) runControlQuery(text string, done func(*answer, transport.EndReason)) {
+// runControlQuery sends a KILL QUERY or a check for this attempt's query. At most one of them is in progress at a time.
+func (a *attempt) runControlQuery(text string, done func(*response, transport.EndReason)) {
 	c := &call{timeout: controlTimeout, maxBodyBytes: maxControlBytes}
 	c.build = func() []byte { return a.engine.buildRequest("POST", "/?default_format=TabSeparated", []byte(text), "") }
-	c.done = func(r *answer, e transport.EndReason) {
+	c.done = func(r *response, reason transport.EndReason) {
 		if a.controlCall == c {
 			a.controlCall = nil
 		}
-		done(r, e)
+		done(r, reason)
 	}
 	a.controlCall = c
 	a.engine.start(c)
@@ -405,24 +407,26 @@
 	if a.finished {
 		return
 	}
-	a.runControlQuery("SELECT count() FROM system.processes WHERE query_id = '"+a.queryID+"'", func(r *answer, e transport.EndReason) {
-		switch {
-		case a.finished:
-		case r != nil && r.Status == 200 && string(bytes.TrimSpace(r.body)) == "0":
-			a.finish(a.endReason)
-		case e == transport.ConnRefused && (a.engine.openConns == 0 || a.engine.Addr == ""):
-			// The engine's process has ended, and the query with it.
-			if a.endReason == transport.QueryLost {
-				a.endReason = transport.ProcessDied
+	a.runControlQuery("SELECT count() FROM system.processes WHERE query_id = '"+a.queryID+"'",
+		func(r *response, reason transport.EndReason) {
+			switch {
+			case a.finished:
+			case r != nil && r.Status == 200 && string(bytes.TrimSpace(r.body)) == "0":
+				a.finish(a.endReason)
+			case reason == transport.ConnRefused && (a.engine.openConns == 0 || a.engine.Addr == ""):
+				// The engine's process has ended, and the query with it.
+				if a.endReason == transport.QueryLost {
+					a.endReason = transport.ProcessDied
+				}
+				a.finish(a.endReason)
+			case r != nil && r.Status == 200 && a.connLost && !a.cancelled:
+				// The query is running, but its response can't arrive any more.
+				a.cancel(a.endReason)
+			default:
+				a.retryTimer.Do = a.checkRunning
+				a.fleet.Deadlines.Set(&a.retryTimer, a.fleet.Now()+pollPause)
 			}
-			a.finish(a.endReason)
-		case r != nil && r.Status == 200 && a.connLost && !a.cancelled: // it is running, but its answer can't arrive any more
-			a.cancel(a.endReason)
-		default:
-			a.retryTimer.Do = a.checkRunning
-			a.fleet.Deadlines.Set(&a.retryTimer, a.fleet.Now()+pollPause)
-		}
-	})
+		})
 }
 
 // finish ends the attempt and reports its outcome. Further calls have no effect.
@@ -447,5 +451,5 @@
 	if reason != transport.Served {
 		a.outcome.Duration, a.outcome.Result = fleet.Now()-a.startedAt, nil
 	}
-	fleet.Watcher.AttemptEnded(a.outcome)
+	fleet.Listener.AttemptEnded(a.outcome)
 }
--- a/internal/chengine/pool.go
+++ b/internal/chengine/pool.go
@@ -11,27 +11,27 @@
 	"thymeway/internal/transport"
 )
 
-// answer is a complete answer of an engine.
-type answer struct {
+// response is a complete HTTP response of an engine.
+type response struct {
 	*http1.Head
 	body []byte
 }
 
 // call is one HTTP call to an engine. done is called once, unless the call is abandoned.
 type call struct {
-	build        func() []byte // returns the bytes just before they are written; nil withdraws the call
-	timeout      float64       // for the answer, in ms from when the call is written
-	maxBodyBytes int           // limit for the body of the answer
+	build        func() []byte // returns the request when the call is about to be written; nil withdraws the call
+	timeout      float64       // ms from when the call is written until the response must be complete
+	maxBodyBytes int           // limit for the body of the response
 	written      bool
 	progress     func(value string) // receives progress headers as they arrive; may be nil
-	done         func(a *answer, e transport.EndReason)
+	done         func(r *response, reason transport.EndReason)
 	conn         *conn
 	timer        deadline.Entry
 }
 
-// abandon ignores the outcome of a call. Its connection is closed, as the answer might still arrive on it.
+// abandon ignores the outcome of a call and closes its connection, because the response might still arrive on it.
 func (c *call) abandon() {
-	c.done = func(*answer, transport.EndReason) {}
+	c.done = func(*response, transport.EndReason) {}
 	if cn := c.conn; cn != nil {
 		cn.close()
 	}
@@ -50,29 +50,29 @@
 
 // conn is a connection to an engine. It carries at most one call at a time.
 type conn struct {
-	engine         *engine
-	addr           string
-	transport      transport.Conn
-	call           *call
-	input          []byte      // received, but not parsed yet
-	scannedBytes   int         // of input, searched for progress headers
-	head           *http1.Head // of the answer being received; nil: incomplete
-	body           *http1.BodyDecoder
-	received       []byte // of the body
-	countedBytes   int    // of it, included in the fleet's bufferedBytes
-	interimAnswers int    // answers with status 1xx before the current answer
-	closed         bool
-	timer          deadline.Entry // closes an idle connection
+	engine           *engine
+	addr             string
+	transport        transport.Conn
+	call             *call
+	input            []byte      // received, but not parsed yet
+	scannedBytes     int         // leading bytes of input that were searched for progress headers
+	head             *http1.Head // of the response being received; nil while it is incomplete
+	bodyDecoder      *http1.BodyDecoder
+	receivedBody     []byte // body received so far
+	countedBytes     int    // bytes of receivedBody included in the fleet's bufferedBytes
+	interimResponses int    // responses with status 1xx before the final one
+	closed           bool
+	timer            deadline.Entry // closes an idle connection
 }
 
 const (
-	maxHeadBytes      = 64 << 10 // progress headers count toward it
-	maxInterimAnswers = 16
+	maxHeadBytes        = 64 << 10 // of a response, including its progress headers
+	maxInterimResponses = 16
 )
 
 // start writes a call to an idle connection, or opens a connection for it.
 func (e *engine) start(c *call) {
-	if e.Addr == "" { // the process has ended: another one listens at its address
+	if e.Addr == "" { // the engine's process has ended, and another engine listens at its address
 		c.done(nil, transport.ConnRefused)
 		return
 	}
@@ -80,7 +80,8 @@
 		cn := e.idle[count-1]
 		e.idle = e.idle[:count-1]
 		e.fleet.Deadlines.Cancel(&cn.timer)
-		// Danger: a reset or stray bytes that have arrived in the meantime would be taken for the answer to this call.
+		// While it was idle, the connection may have been reset or may have received stray bytes. Either would pass for the
+		// outcome of this call, so such a connection is closed.
 		if cn.transport.Idle() {
 			cn.writeCall(c)
 			return
@@ -98,7 +99,7 @@
 	e.fleet.Dialer.Dial(e.Addr, cn)
 }
 
-// ensureConnCapacity reports whether one more connection may be opened. At the limit it closes an idle connection.
+// ensureConnCapacity reports whether one more connection may be opened. At the limit it closes an idle connection, if any.
 func (f *Fleet) ensureConnCapacity() bool {
 	if f.conns < f.MaxConns {
 		return true
@@ -207,7 +208,7 @@
 		c.Close()
 		return
 	}
-	if cn.addr != cn.engine.Addr { // danger: another engine now listens there and would run the query
+	if cn.addr != cn.engine.Addr { // another engine may listen at the old address by now, and would run the query
 		cn.closeAndFail(transport.ConnRefused)
 		return
 	}
@@ -227,7 +228,7 @@
 	}
 }
 
-// Received processes bytes of an answer, however they are split.
+// Received processes bytes of a response, however they are split.
 func (cn *conn) Received(b []byte) {
 	fleet := cn.engine.fleet
 	if cn.closed {
@@ -238,9 +239,9 @@
 		cn.close()
 		return
 	}
-	a, err := cn.parseInput(b)
+	r, err := cn.parseInput(b)
 	if errors.Is(err, errBufferLimit) {
-		fleet.Faults.Add("result-no-room", "engine", cn.engine.ID, "bytes", len(cn.received))
+		fleet.Faults.Add("result-no-room", "engine", cn.engine.ID, "bytes", len(cn.receivedBody))
 		cn.closeAndFail(transport.NoDescriptor)
 		return
 	}
@@ -249,22 +250,22 @@
 		cn.closeAndFail(transport.Malformed)
 		return
 	}
-	if a == nil {
+	if r == nil {
 		return
 	}
 	c := cn.call
 	cn.call, c.conn = nil, nil
 	fleet.Deadlines.Cancel(&c.timer)
-	if a.Close || len(cn.input) > 0 {
+	if r.Close || len(cn.input) > 0 {
 		cn.close()
 	} else {
 		cn.makeAvailable()
 	}
-	c.done(a, transport.Served)
+	c.done(r, transport.Served)
 }
 
-// parseInput adds bytes to the input, passes on progress headers, and returns the answer if it is now complete.
-func (cn *conn) parseInput(b []byte) (*answer, error) {
+// parseInput adds bytes to the input, passes on progress headers, and returns the response if it is now complete.
+func (cn *conn) parseInput(b []byte) (*response, error) {
 	cn.input = append(cn.input, b...)
 	for cn.head == nil {
 		head, n, err := http1.ParseResponse(cn.input, http1.Limits{MaxBytes: maxHeadBytes})
@@ -277,34 +278,34 @@
 		}
 		cn.input, cn.scannedBytes = append(cn.input[:0], cn.input[n:]...), 0
 		if head.Status/100 == 1 {
-			if cn.interimAnswers++; cn.interimAnswers > maxInterimAnswers || head.Status == 101 {
-				return nil, errors.New("unexpected interim answer (status 1xx)")
+			if cn.interimResponses++; cn.interimResponses > maxInterimResponses || head.Status == 101 {
+				return nil, errors.New("unexpected interim response (status 1xx)")
 			}
 			continue
 		}
-		if cn.body, err = head.NewBodyDecoder(int64(cn.call.maxBodyBytes)); err != nil {
+		if cn.bodyDecoder, err = head.NewBodyDecoder(int64(cn.call.maxBodyBytes)); err != nil {
 			return nil, err
 		}
 		cn.head = head
 	}
-	received, used, err := cn.body.DecodeAll(cn.received, cn.input)
-	cn.received = received
+	received, used, err := cn.bodyDecoder.DecodeAll(cn.receivedBody, cn.input)
+	cn.receivedBody = received
 	cn.input = append(cn.input[:0], cn.input[used:]...)
-	// Danger: the limit on one result does not bound the memory that the results of all attempts take together.
+	// MaxResultBytes limits one result only. Without this check, the results of many attempts together could use up the memory.
 	if f := cn.engine.fleet; f.MaxBufferedBytes > 0 && f.bufferedBytes-cn.countedBytes+len(received) > f.MaxBufferedBytes {
 		return nil, errBufferLimit
 	}
 	cn.setCountedBytes(len(received))
-	if err != nil || !cn.body.Done() {
+	if err != nil || !cn.bodyDecoder.Done() {
 		return nil, err
 	}
 	cn.setCountedBytes(0)
-	a := &answer{cn.head, cn.received}
-	cn.head, cn.body, cn.received, cn.interimAnswers = nil, nil, nil, 0
+	r := &response{cn.head, cn.receivedBody}
+	cn.head, cn.bodyDecoder, cn.receivedBody, cn.interimResponses = nil, nil, nil, 0
 	if cap(cn.input) > 8<<10 {
 		cn.input = append([]byte(nil), cn.input...)
 	}
-	return a, nil
+	return r, nil
 }
 
 // errBufferLimit is returned when the results being received would exceed Fleet.MaxBufferedBytes.
@@ -316,7 +317,7 @@
 	cn.countedBytes = count
 }
 
-// scanProgress passes on the progress headers in a head that is still incomplete.
+// scanProgress passes on the new progress headers in a head that is still incomplete.
 func (cn *conn) scanProgress() {
 	for cn.call != nil && cn.call.progress != nil {
 		i := bytes.IndexByte(cn.input[cn.scannedBytes:], '\n')
--- a/internal/chhttp/compression.go
+++ b/internal/chhttp/compression.go
@@ -27,8 +27,8 @@
 	return ""
 }
 
-// readLimited reads a decompressed body of at most maxBytes bytes. Danger: a few compressed bytes may expand to more than the
-// available memory.
+// readLimited reads a decompressed body of at most maxBytes bytes. Without the limit, a few compressed bytes could expand to
+// more than the available memory.
 func readLimited(r io.Reader, maxBytes int) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(r, int64(maxBytes)+1))
 	if err == nil && len(body) > maxBytes {
@@ -79,7 +79,7 @@
 	if err != nil || !blocks || len(body) == 0 {
 		return body, err
 	}
-	// Danger: the library allocates as much memory as a block's header claims to need, so the claims are checked first.
+	// The library allocates as much memory as a block's header claims to need, so the sizes in all headers are checked first.
 	total := 0
 	for rest := body; len(rest) > 0; {
 		if len(rest) < blockHeaderBytes {
@@ -101,13 +101,13 @@
 	return out, nil
 }
 
-// encoders holds the zstd encoder, which is created on first use and then shared by all answers: only the event loop uses it.
+// encoders holds the zstd encoder, which is created on first use. All responses share it, as only the event loop uses it.
 var encoders = struct {
 	sync.Once
 	zstd *zstd.Encoder
 }{}
 
-// compressBody compresses the body of an answer: first into ClickHouse's blocks, if blocks is set, by the given method (ZSTD, or
+// compressBody compresses the body of a response: first into ClickHouse's blocks, if blocks is set, by the given method (ZSTD, or
 // LZ4 for any other), then with the content encoding.
 func compressBody(body []byte, encoding string, blocks bool, method string) ([]byte, error) {
 	if blocks {
--- a/internal/chhttp/format.go
+++ b/internal/chhttp/format.go
@@ -14,7 +14,7 @@
 type formatOptions struct {
 	revision       uint64  // client_protocol_version; used by Native
 	quote64Bit     bool    // JSON formats write integers of 64 or more bits in quotes
-	elapsedSeconds float64 // time that the query took; used by JSON
+	elapsedSeconds float64 // duration of the query; used by JSON and JSONCompact
 }
 
 // format is an output format: its Content-Type, and the function that appends a result.
@@ -205,8 +205,8 @@
 	return append(dst, '"')
 }
 
-// appendJSONValue appends a cell. Danger: if the engine sends something else in a numeric column, writing it without quotes would
-// make the document invalid.
+// appendJSONValue appends a cell as a JSON value. A cell of a numeric column that is not a valid JSON number is written in
+// quotes, as it would make the document invalid without them.
 func appendJSONValue(dst []byte, c result.Cell, t *columnType, quote64Bit bool) []byte {
 	unquoted, large := t.unquoted()
 	switch text := string(c.Text); {
@@ -311,7 +311,8 @@
 	return append(binary.AppendUvarint(dst, uint64(len(s))), s...)
 }
 
-// appendNullMark appends the byte that states whether a value is NULL, if the type is nullable.
+// appendNullMark appends the byte that states whether a value is NULL, if the type is nullable. For NULL in a type that is not
+// nullable it returns an error.
 func (t *columnType) appendNullMark(dst []byte, c result.Cell) ([]byte, error) {
 	switch {
 	case c.Null && !t.nullable:
--- a/internal/chhttp/format_test.go
+++ b/internal/chhttp/format_test.go
@@ -64,16 +64,16 @@
 	}
 }
 
-// ClickHouse's Go client library reads the values back from Native blocks, with and without the parts that newer revisions add.
-// RowBinary contains the same values.
-func TestNative(t *testing.T) {
+// ClickHouse's Go client library reads the same values back from Native blocks, with and without the parts that newer revisions
+// add. RowBinary starts with the first of these values.
+func TestNativeRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := "s\tu\ti\tf\tn\n" + "String\tUInt32\tInt64\tFloat64\tNullable(String)\n"
-		var ss []string
-		var us []uint32
-		var is []int64
-		var fs []float64
-		var ns []proto.Nullable[string]
+		var texts []string
+		var uints []uint32
+		var ints []int64
+		var floats []float64
+		var nullables []proto.Nullable[string]
 		for range rapid.IntRange(0, 20).Draw(t, "rows") {
 			s := string(rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(t, "s"))
 			u, i, f := rapid.Uint32().Draw(t, "u"), rapid.Int64().Draw(t, "i"), rapid.Float64().Draw(t, "f")
@@ -81,7 +81,8 @@
 			if rapid.Bool().Draw(t, "set") {
 				n, cell = proto.NewNullable(s), string(result.Escape(nil, []byte(s)))
 			}
-			ss, us, is, fs, ns = append(ss, s), append(us, u), append(is, i), append(fs, f), append(ns, n)
+			texts, uints, ints, floats, nullables =
+				append(texts, s), append(uints, u), append(ints, i), append(floats, f), append(nullables, n)
 			text += fmt.Sprintf("%s\t%d\t%d\t%v\t%s\n", result.Escape(nil, []byte(s)), u, i, f, cell)
 		}
 		r, err := result.Parse([]byte(text))
@@ -93,27 +94,29 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var cs proto.ColStr
-		var cu proto.ColUInt32
-		var ci proto.ColInt64
-		var cf proto.ColFloat64
-		cn := new(proto.ColStr).Nullable()
-		rd := proto.NewReader(bytes.NewReader(b))
+		var textColumn proto.ColStr
+		var uintColumn proto.ColUInt32
+		var intColumn proto.ColInt64
+		var floatColumn proto.ColFloat64
+		nullableColumn := new(proto.ColStr).Nullable()
+		reader := proto.NewReader(bytes.NewReader(b))
 		var block proto.Block
-		if err := block.DecodeBlock(rd, int(revision), proto.Results{{Name: "s", Data: &cs}, {Name: "u", Data: &cu},
-			{Name: "i", Data: &ci}, {Name: "f", Data: &cf}, {Name: "n", Data: cn}}); err != nil {
+		if err := block.DecodeBlock(reader, int(revision), proto.Results{{Name: "s", Data: &textColumn},
+			{Name: "u", Data: &uintColumn}, {Name: "i", Data: &intColumn}, {Name: "f", Data: &floatColumn},
+			{Name: "n", Data: nullableColumn}}); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := rd.ReadByte(); !errors.Is(err, io.EOF) || block.Rows != len(ss) {
-			t.Fatalf("decoded %d rows, want %d; error at the end: %v", block.Rows, len(ss), err)
+		if _, err := reader.ReadByte(); !errors.Is(err, io.EOF) || block.Rows != len(texts) {
+			t.Fatalf("decoded %d rows, want %d; error at the end: %v", block.Rows, len(texts), err)
 		}
-		for i := range ss {
-			if cs.Row(i) != ss[i] || cu[i] != us[i] || ci[i] != is[i] || cf[i] != fs[i] || cn.Row(i) != ns[i] {
+		for i := range texts {
+			if textColumn.Row(i) != texts[i] || uintColumn[i] != uints[i] || intColumn[i] != ints[i] ||
+				floatColumn[i] != floats[i] || nullableColumn.Row(i) != nullables[i] {
 				t.Fatalf("row %d differs", i)
 			}
 		}
-		if rb, err := formats["RowBinary"].write(nil, r, formatOptions{}); err != nil ||
-			len(ss) > 0 && !bytes.HasPrefix(rb, appendString(nil, ss[0])) {
+		if rowBinary, err := formats["RowBinary"].write(nil, r, formatOptions{}); err != nil ||
+			len(texts) > 0 && !bytes.HasPrefix(rowBinary, appendString(nil, texts[0])) {
 			t.Fatalf("RowBinary: %v", err)
 		}
 	})
@@ -145,8 +148,8 @@
 
 // Whatever the value of a query parameter contains, it becomes one literal in the text, and the shape of the text stays the same.
 func TestParametersStayLiterals(t *testing.T) {
-	book := shape.NewCatalog(shape.Options{MaxBytes: 1 << 20})
-	want := book.Recognise("SELECT a FROM sales_3.t WHERE b = 'x' AND c = 1", shape.ClickHouse, 0).ID
+	catalog := shape.NewCatalog(shape.Options{MaxBytes: 1 << 20})
+	want := catalog.Recognise("SELECT a FROM sales_3.t WHERE b = 'x' AND c = 1", shape.ClickHouse, 0).ID
 	rapid.Check(t, func(t *rapid.T) {
 		value := string(rapid.SliceOfN(rapid.SampledFrom([]byte(`a'"\;-/*#()`+"`\n")), 0, 12).Draw(t, "value"))
 		text, err := shape.SubstituteParameters("SELECT a FROM sales_3.t WHERE b = {v:String} AND c = {n:UInt8}",
@@ -159,7 +162,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if s := book.Recognise(text, shape.ClickHouse, 0); s.ID != want {
+		if s := catalog.Recognise(text, shape.ClickHouse, 0); s.ID != want {
 			t.Fatalf("value %q gives %q, which has another shape: %s", value, text, s.Text())
 		}
 	})
@@ -230,7 +233,7 @@
 	}
 }
 
-// FORMAT is recognized only where it is a clause of the query.
+// FORMAT is recognised only where it is a clause of the query.
 func TestFormatClause(t *testing.T) {
 	for text, want := range map[string]string{
 		"SELECT 1 FORMAT JSON": "JSON", "select 1 format CSV settings a = 1": "CSV", "SELECT 'FORMAT JSON'": "",
