--- a/internal/chhttp/request.go
+++ b/internal/chhttp/request.go
@@ -47,8 +47,8 @@
 	status int
 }
 
-// codes holds all exception codes that are created here. Other codes come from engines.
-var codes = map[int]codeInfo{
+// exceptionCodes holds the exception codes that this package creates. Other codes come from engines.
+var exceptionCodes = map[int]codeInfo{
 	codeBadArguments: {"BAD_ARGUMENTS", 400}, codeSyntax: {"SYNTAX_ERROR", 400}, codeTimeout: {"TIMEOUT_EXCEEDED", 408},
 	codeReadonly: {"READONLY", 500}, codeTooManyQueries: {"TOO_MANY_SIMULTANEOUS_QUERIES", 503},
 	codeDuplicateQueryID: {"QUERY_WITH_SAME_ID_IS_ALREADY_RUNNING", 500}, codeMemoryLimit: {"MEMORY_LIMIT_EXCEEDED", 500},
@@ -73,25 +73,25 @@
 	return &exception{code, fmt.Sprintf(format, args...)}
 }
 
-// query is a parsed and checked request for a query, with the options for its answer.
+// query is a parsed and checked query, with the options for its response.
 type query struct {
 	*coordinator.Request
-	timeLimit       float64 // ms from arrival to the answer
+	timeLimit       float64 // ms from the arrival of the request to its response
 	id              string  // query_id
 	sessionID       string  // session_id
 	format          string  // name of the output format
 	user            string
 	options         formatOptions
 	wantsProgress   bool              // send_progress_in_http_headers
-	compressBlocks  bool              // compress: the answer consists of ClickHouse's compressed blocks
-	contentEncoding string            // of the answer, chosen from Accept-Encoding; "": none
-	headOnly        bool              // the method is HEAD: the answer has no body
-	parameters      map[string]string // of the URL
+	compressBlocks  bool              // compress: the response consists of ClickHouse's compressed blocks
+	contentEncoding string            // of the response, chosen from Accept-Encoding; "": none
+	headOnly        bool              // the method is HEAD: the response has no body
+	parameters      map[string]string // URL parameters
 }
 
 const (
 	maxParameters = 256
-	maxIDBytes    = 128       // of a query_id or session_id
+	maxIDBytes    = 128       // length of a query_id or session_id
 	maxTimeLimit  = 3600000.0 // ms, for queries whose class has no time limit
 )
 
@@ -104,8 +104,8 @@
 	"client_protocol_version": true, "role": true, "network_compression_method": true, "network_zstd_compression_level": true,
 	"output_format_json_quote_64bit_integers": true}
 
-// parseTarget splits a request target into its path and parameters. Danger: of a parameter that is given twice, two programs
-// may use different values, so it is refused.
+// parseTarget splits a request target into its path and parameters. A parameter that is given twice is refused, because a proxy
+// and this program might each use a different one of its values.
 func parseTarget(target string) (path string, parameters map[string]string, err error) {
 	path, raw, _ := strings.Cut(target, "?")
 	parameters = map[string]string{}
@@ -136,8 +136,8 @@
 // enabled reports whether the value of a Boolean parameter is true.
 func enabled(s string) bool { return s == "1" || strings.EqualFold(s, "true") }
 
-// readCredentials returns the user name and password, which are given in the URL, by basic authentication or in headers. A
-// request that uses more than one of these is refused.
+// readCredentials returns the user name and password, which may be given in the URL, by basic authentication or in headers. A
+// request that uses more than one of these ways is refused.
 func readCredentials(head *http1.Head, parameters map[string]string) (name, password string, err error) {
 	methods := 0
 	name = "default"
@@ -173,8 +173,8 @@
 	return b
 }
 
-// authenticate checks a user's password and returns the tenant that the user belongs to. Danger: different errors for an unknown
-// name and a wrong password would disclose which names exist.
+// authenticate checks a user's password and returns the tenant that the user belongs to. The error for an unknown name equals
+// the one for a wrong password; otherwise it would disclose which names exist.
 func (srv *Server) authenticate(name, password, quotaKey string) (string, error) {
 	denied := newException(codeAuth,
 		"%.60s: Authentication failed: password is incorrect, or there is no user with such name.", name)
@@ -199,12 +199,12 @@
 	return name, nil
 }
 
-// readQuery creates a query from an HTTP request. The terms of the interface become those of the scheduler only here:
+// readQuery creates a query from an HTTP request. The fields of the request for the scheduler are set as follows:
 //
-//	tenant           of the user; quota_key if the request names no user
+//	tenant           the tenant of the user; quota_key if the request names no user
 //	deadline         from max_execution_time and the time limit of the class
-//	class            from the fields in the statement's comment, if present; otherwise from the kind of statement
-//	idempotency key  insert_deduplication_token; without it, a key of the request's own
+//	class            from the fields in the statement's comment, if present; otherwise from the kind of the statement
+//	idempotency key  insert_deduplication_token; without it, a key derived from the request's ID
 //	order key        the header or setting that the local settings name; without it, the tables that are written
 func (srv *Server) readQuery(head *http1.Head, body []byte) (*query, error) {
 	_, parameters, err := parseTarget(head.Target)
@@ -257,7 +257,8 @@
 	return q, srv.fillRequest(q, head, parameters, tenant, text, data)
 }
 
-// fillRequest creates the request for the coordinator and stores it in the query. data is what follows the text of an INSERT.
+// fillRequest creates the request for the coordinator and stores it in the query. data holds the rows of an INSERT that are sent
+// separately from its text.
 func (srv *Server) fillRequest(q *query, head *http1.Head, parameters map[string]string, tenant, text string, data []byte) error {
 	if strings.Trim(text, " \t\r\n;") == "" {
 		return newException(codeSyntax, "Syntax error: Empty query")
@@ -313,7 +314,7 @@
 		request.Statement += "\n" + string(data)
 	}
 	srv.Coordinator.Recognise(request)
-	if head.Method != "POST" && request.Shape.Kind == shape.Write { // proxies may repeat GET and HEAD, so these must not write
+	if head.Method != "POST" && request.Shape.Kind == shape.Write { // proxies may repeat GET and HEAD requests
 		return newException(codeReadonly,
 			"Cannot execute query in readonly mode. For queries over HTTP, method GET implies readonly.")
 	}
@@ -390,8 +391,8 @@
 	return names
 }
 
-// parameterLiteral returns the value of a query parameter as a literal of its type. Danger: a value that was put into the text
-// unchanged could alter the query (SQL injection).
+// parameterLiteral returns the value of a query parameter as a literal of its type. Invalid values are refused and texts are
+// quoted, because a value that was inserted unchanged could alter the query (SQL injection).
 func parameterLiteral(name, value, typeName string) (string, error) {
 	invalid := newException(codeBadParameter, "Value %.60q cannot be parsed as %.60s for query parameter '%.60s'",
 		value, typeName, name)
@@ -411,8 +412,8 @@
 		return "", newException(codeBadParameter, "query parameter '%.60s': type %.60s is not known", name, typeName)
 	}
 	if _, err := t.appendBinary(nil, value); err != nil {
-		if t.kind == kindDateTime || t.kind == kindDateTime64 { // a number of seconds is also valid
-			if _, nerr := strconv.ParseUint(value, 10, 32); nerr == nil {
+		if t.kind == kindDateTime || t.kind == kindDateTime64 { // a Unix time in seconds is also valid
+			if _, numberErr := strconv.ParseUint(value, 10, 32); numberErr == nil {
 				return value, nil
 			}
 		}
@@ -430,7 +431,7 @@
 	return quoteLiteral(value), nil
 }
 
-// quoteLiteral returns a text as a string literal. PostgreSQL and ClickHouse read it alike if the text has no backslash.
+// quoteLiteral returns a text as a string literal. PostgreSQL and ClickHouse read it alike if the text contains no backslash.
 func quoteLiteral(s string) string {
 	return "'" + strings.NewReplacer(`\`, `\\`, "'", "''").Replace(s) + "'"
 }
--- a/internal/chhttp/server.go
+++ b/internal/chhttp/server.go
@@ -22,18 +22,18 @@
 
 // Limits on the resources that one session may use. Times are in ms.
 const (
-	headTimeout         = 2300.0   // for the first head from connecting, for each later one from its first byte
+	headTimeout         = 2300.0   // for the first head, from connecting; for each later head, from its first byte
 	bodyTimeout         = 2300.0   // for the body of a request
-	bodyBytesPerTimeout = 1 << 20  // bodyTimeout is granted once more for each of these units in the body
+	bodyBytesPerTimeout = 1 << 20  // bytes of Content-Length that extend the limit by another bodyTimeout
 	maxHeadBytes        = 64 << 10 // the URL in the head may contain the query
-	maxHeadFields       = 100
-	maxRequestsPerTurn  = 16      // event-loop turn
-	maxUnreadBytes      = 4 << 20 // that a client may leave unread, not counting its latest answer
-	maxFaultsInARow     = 32      // invalid requests, before the connection is closed
-	undelayedFaults     = 4       // invalid requests in a row that are answered without faultPause
-	faultPause          = 50.0    // before the next request is read, after an invalid one
-	maxMarginShare      = 0.1     // of the client's time limit that Server.Margin may use up
-	defaultRetryAfter   = 500     // not used: a refusal without advice has no Retry-After
+	maxHeadFields       = 100      // header fields of a request
+	maxRequestsPerTurn  = 16       // requests of one session handled in an event-loop turn
+	maxUnreadBytes      = 4 << 20  // bytes that a client may leave unread, not counting its latest response
+	maxFaultsInARow     = 32       // refused requests in a row, after which the connection is closed
+	undelayedFaults     = 4        // refused requests in a row that are answered without faultPause
+	faultPause          = 50.0     // between a refused request and the handling of the next one
+	maxMarginShare      = 0.1      // largest share of the client's time limit that Server.Margin may take
+	defaultRetryAfter   = 500      // unused: a refusal without an advised pause has no Retry-After header
 )
 
 // Coordinator accepts the requests of the sessions. coordinator.Coordinator implements it.
@@ -50,7 +50,7 @@
 	Deadlines    *deadline.Queue
 	Faults       *faultlog.FaultLog
 	Now          func() float64
-	Margin       float64 // ms by which the deadline is earlier than the client's time limit, for sending the answer
+	Margin       float64 // ms by which the deadline precedes the client's time limit, for sending the response
 	ConnLimiter  *connlimit.Limiter
 	Random       *rand.Rand
 	Config       config.Config
@@ -58,7 +58,7 @@
 	ShuttingDown bool // new queries are refused
 
 	startedAt    float64
-	heldBytes    int // by all sessions
+	heldBytes    int // bytes of requests that all sessions hold
 	sessions     map[*Session]bool
 	queries      map[string]*Session // sessions with an open query, by its query_id
 	sessionLocks map[string]*Session // sessions with an open query, by its user and session_id
@@ -80,27 +80,27 @@
 
 // Session is the connection of one client.
 type Session struct {
-	server           *Server
-	conn             transport.Conn
-	slot             *connlimit.Slot
-	excess           bool // the connection is beyond the limit, so its queries are refused
-	closed           bool
-	processing       bool        // processInput is running
-	paused           bool        // no request is handled until resumeTimer fires
-	faultsInARow     int         // consecutive invalid requests
-	input            []byte      // received, but not parsed yet
-	head             *http1.Head // of the request whose body is being received
-	body             *http1.BodyDecoder
-	received         []byte         // of the body
-	countedBytes     int            // included in the server's heldBytes
-	query            *query         // the open query, if any
-	queryStartedAt   float64        // when the open query was accepted
-	headSent         bool           // the status line of its answer was sent, ahead of progress headers
-	closeAfterAnswer bool           // the connection is closed after the next answer
-	requestCount     uint64         // requests received completely
-	requestTimer     deadline.Entry // limits the time for receiving a request
-	resumeTimer      deadline.Entry // ends a pause
-	idleTimer        deadline.Entry // closes an idle connection
+	server             *Server
+	conn               transport.Conn
+	slot               *connlimit.Slot
+	excess             bool // the connection exceeds the connection limit, so its queries are refused
+	closed             bool
+	processing         bool        // processInput is running
+	paused             bool        // no request is handled until resumeTimer fires
+	faultsInARow       int         // consecutive refused requests
+	input              []byte      // received, but not parsed yet
+	head               *http1.Head // of the request whose body is being received
+	bodyDecoder        *http1.BodyDecoder
+	receivedBody       []byte         // body received so far
+	countedBytes       int            // bytes of this session included in the server's heldBytes
+	query              *query         // the open query, if any
+	queryStartedAt     float64        // when the open query was accepted
+	headSent           bool           // the status line of the response was sent, ahead of progress headers
+	closeAfterResponse bool           // the connection is closed after the next response
+	requestCount       uint64         // requests received completely
+	requestTimer       deadline.Entry // limits the time for receiving a request
+	resumeTimer        deadline.Entry // ends a pause
+	idleTimer          deadline.Entry // closes an idle connection
 }
 
 // Accept creates the session of a new connection.
@@ -131,7 +131,7 @@
 	s.slot.MarkUnused()
 }
 
-// InputEmpty reports whether the connection is open and all received data has been read, as connlimit.Connection requires.
+// InputEmpty reports whether the connection is open and all received data has been read. It implements connlimit.Connection.
 func (s *Session) InputEmpty() bool { return s.conn.Idle() }
 
 // Evict closes the connection in favor of another one.
@@ -152,9 +152,10 @@
 	s.processInput()
 }
 
-// processInput handles the requests that are complete. Requests behind an open query wait for its answer.
+// processInput handles the requests that are complete. Requests behind an open query wait for its response.
 func (s *Session) processInput() {
-	// Danger: a query that is answered immediately causes a nested call, which would handle the same bytes again.
+	// A query that is answered at once calls processInput again from within the loop below. Without this check, the nested call
+	// would handle the same bytes a second time.
 	if s.processing || s.closed {
 		return
 	}
@@ -162,7 +163,7 @@
 	defer func() { s.processing = false }()
 	srv := s.server
 	for n := 0; s.query == nil && !s.closed && !s.paused; n++ {
-		if n == maxRequestsPerTurn { // danger: all other connections wait until this event-loop turn ends
+		if n == maxRequestsPerTurn { // all other connections wait until this event-loop turn ends
 			s.pause(0)
 			break
 		}
@@ -175,7 +176,7 @@
 	}
 	s.reserveBytes(s.neededBytes()) // not checked, as fewer bytes are usually needed than before
 	switch maxInput := maxHeadBytes + srv.Config.Local.ClickHouse.MaxBodyBytes; {
-	case len(s.input) > maxInput: // danger: a client that keeps writing behind an open request would use up the memory
+	case len(s.input) > maxInput: // a client that keeps writing behind an open request would use up the memory
 		s.refuseAndClose(413, newException(codeTooLarge, "over %d bytes behind an open request", maxInput))
 	case s.query == nil && s.head == nil && len(s.input) == 0:
 		s.input = nil
@@ -200,24 +201,24 @@
 			return false
 		}
 		if err == nil {
-			s.body, err = head.NewBodyDecoder(int64(srv.Config.Local.ClickHouse.MaxBodyBytes))
+			s.bodyDecoder, err = head.NewBodyDecoder(int64(srv.Config.Local.ClickHouse.MaxBodyBytes))
 		}
 		if err != nil {
 			s.refuseMalformed(err)
 			return false
 		}
 		s.head, s.input = head, s.input[n:]
-		s.received = nil
+		s.receivedBody = nil
 		if expectation := head.Get("expect"); expectation != "" {
 			if !strings.EqualFold(expectation, "100-continue") {
 				s.refuseAndClose(417, newException(codeProtocol, "expectation %.40q", expectation))
 				return false
 			}
-			if !s.body.Done() {
+			if !s.bodyDecoder.Done() {
 				s.conn.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 			}
 		}
-		if !s.body.Done() {
+		if !s.bodyDecoder.Done() {
 			timeout := bodyTimeout * (1 + float64(max(head.ContentLength, 0))/bodyBytesPerTimeout)
 			srv.Deadlines.Set(&s.requestTimer, srv.Now()+timeout)
 		}
@@ -226,13 +227,13 @@
 		s.refuseForMemory()
 		return false
 	}
-	received, used, err := s.body.DecodeAll(s.received, s.input)
-	s.received, s.input = received, s.input[used:]
+	received, used, err := s.bodyDecoder.DecodeAll(s.receivedBody, s.input)
+	s.receivedBody, s.input = received, s.input[used:]
 	if err != nil {
 		s.refuseMalformed(err)
 		return false
 	}
-	if !s.body.Done() {
+	if !s.bodyDecoder.Done() {
 		if len(s.input) > 0 { // a copy, so that the parsed part is freed
 			s.input = append([]byte(nil), s.input...)
 		} else {
@@ -242,10 +243,10 @@
 	}
 	s.input = append([]byte(nil), s.input...)
 	srv.Deadlines.Cancel(&s.requestTimer)
-	head, body := s.head, s.received
-	s.head, s.body, s.received = nil, nil, nil
+	head, body := s.head, s.receivedBody
+	s.head, s.bodyDecoder, s.receivedBody = nil, nil, nil
 	s.requestCount++
-	s.closeAfterAnswer = head.Close
+	s.closeAfterResponse = head.Close
 	s.handleRequest(head, body)
 	return true
 }
@@ -255,7 +256,7 @@
 func (s *Session) neededBytes() int {
 	n := len(s.input)
 	if s.head != nil {
-		n += max(int(s.head.ContentLength)-len(s.input), len(s.received))
+		n += max(int(s.head.ContentLength)-len(s.input), len(s.receivedBody))
 	}
 	if s.query != nil {
 		n += len(s.query.Statement)
@@ -263,13 +264,13 @@
 	return n
 }
 
-// refuseForMemory refuses a request because all sessions together hold too many bytes.
+// refuseForMemory refuses a request that would make all sessions together hold more than MaxHeldBytes.
 func (s *Session) refuseForMemory() {
 	s.refuseAndClose(503, newException(codeMemoryLimit, "the requests of all clients take what memory there is for them"))
 }
 
-// reserveBytes sets the session's share of the server's heldBytes, and returns false if that would exceed MaxHeldBytes. Danger:
-// the limits on one request do not bound the memory that the requests of a few hundred clients take together.
+// reserveBytes sets the session's share of the server's heldBytes. It returns false, and changes nothing, if the sum would exceed
+// MaxHeldBytes. The limits on one request do not suffice: the requests of a few hundred clients together could use up the memory.
 func (s *Session) reserveBytes(count int) bool {
 	srv := s.server
 	if count > s.countedBytes && srv.MaxHeldBytes > 0 && srv.heldBytes-s.countedBytes+count > srv.MaxHeldBytes {
@@ -297,11 +298,11 @@
 	s.refuseAndClose(status, newException(codeProtocol, "%v", err))
 }
 
-// refuseAndClose answers with an exception and closes the connection without reading further input. Danger: an open query has
-// to be dropped first, or its answer would be delivered to a session without a query.
+// refuseAndClose answers with an exception and closes the connection without reading further input. It drops an open query
+// first; otherwise the coordinator would later deliver its result to a session without a query.
 func (s *Session) refuseAndClose(status int, err error) {
 	s.dropQuery()
-	s.closeAfterAnswer = true
+	s.closeAfterResponse = true
 	s.writeException(status, err, nil)
 }
 
@@ -309,23 +310,23 @@
 func (s *Session) handleRequest(head *http1.Head, body []byte) {
 	srv := s.server
 	if head.Method != "GET" && head.Method != "POST" && head.Method != "HEAD" {
-		s.closeAfterAnswer = true
-		s.writeAnswer(501, mediaPlain, nil, []byte("There is no handle for method "+head.Method+"\n"), head.Method == "HEAD")
+		s.closeAfterResponse = true
+		s.writeResponse(501, mediaPlain, nil, []byte("There is no handle for method "+head.Method+"\n"), head.Method == "HEAD")
 		return
 	}
 	path, _, _ := strings.Cut(head.Target, "?")
 	switch path {
 	case "/ping", "/replicas_status":
-		s.writeAnswer(200, mediaPlain, nil, []byte("Ok.\n"), head.Method == "HEAD")
+		s.writeResponse(200, mediaPlain, nil, []byte("Ok.\n"), head.Method == "HEAD")
 		return
 	case "/":
 	default:
-		s.writeAnswer(404, mediaPlain, nil, []byte("There is no handle "+path+"\n\nUse / or /ping for health checks.\n"),
+		s.writeResponse(404, mediaPlain, nil, []byte("There is no handle "+path+"\n\nUse / or /ping for health checks.\n"),
 			head.Method == "HEAD")
 		return
 	}
 	if head.Method == "GET" && head.Target == "/" && len(body) == 0 {
-		s.writeAnswer(200, mediaPlain, nil, []byte("Ok.\n"), false)
+		s.writeResponse(200, mediaPlain, nil, []byte("Ok.\n"), false)
 		return
 	}
 	q, err := srv.readQuery(head, body)
@@ -336,7 +337,7 @@
 		}
 	}
 	if err != nil {
-		s.answerFault(err)
+		s.refuseRequest(err)
 		return
 	}
 	s.faultsInARow = 0
@@ -383,15 +384,16 @@
 	return set, nil
 }
 
-// checkAdmission returns an error if a query can't be accepted now.
+// checkAdmission returns an error if a query can't be accepted now: the server is shutting down, the connection exceeds the
+// limit, or another query with the same query_id or session_id is open.
 func (s *Session) checkAdmission(q *query) error {
 	srv := s.server
 	switch {
 	case srv.ShuttingDown:
-		s.closeAfterAnswer = true
+		s.closeAfterResponse = true
 		return newException(codeAborted, "the coordinator shuts down")
 	case s.excess: // the query is not sent to any engine, so a retry is harmless
-		s.closeAfterAnswer = true
+		s.closeAfterResponse = true
 		return newException(codeTooManyQueries, "Too many connections")
 	case q.id != "" && srv.queries[q.id] != nil:
 		return newException(codeDuplicateQueryID, "Query with id = %s is already running.", q.id)
@@ -401,11 +403,12 @@
 	return nil
 }
 
-// answerFault answers an invalid request. After several in a row it delays the next request, and finally closes the connection.
-func (s *Session) answerFault(err error) {
+// refuseRequest answers a request that is invalid or can't be accepted. After several in a row it delays the next request, and
+// finally closes the connection.
+func (s *Session) refuseRequest(err error) {
 	s.server.Faults.Add("client-fault", "protocol", "clickhouse", "error", err)
 	if s.faultsInARow++; s.faultsInARow > maxFaultsInARow {
-		s.closeAfterAnswer = true
+		s.closeAfterResponse = true
 	}
 	s.writeException(0, err, nil)
 	if s.faultsInARow > undelayedFaults && !s.closed {
@@ -413,7 +416,7 @@
 	}
 }
 
-// dropQuery drops the open query, if any, as its client has disconnected or does not want the answer any more.
+// dropQuery drops the open query, if any, because its client has disconnected or does not need the result any more.
 func (s *Session) dropQuery() {
 	if q := s.detachQuery(); q != nil {
 		s.server.Coordinator.Drop(q.Request)
@@ -439,11 +442,11 @@
 
 const mediaPlain = "text/plain; charset=UTF-8"
 
-// writeAnswer writes a complete answer, or its remainder if progress headers were sent before.
-func (s *Session) writeAnswer(status int, contentType string, fields [][2]string, body []byte, headOnly bool) {
+// writeResponse writes a complete response, or its remainder if progress headers were sent before.
+func (s *Session) writeResponse(status int, contentType string, fields [][2]string, body []byte, headOnly bool) {
 	var b []byte
 	if !s.headSent {
-		b = answerHead(status, contentType, s.closeAfterAnswer)
+		b = responseHead(status, contentType, s.closeAfterResponse)
 	}
 	for _, field := range fields {
 		b = append(b, field[0]+": "+field[1]+"\r\n"...)
@@ -456,8 +459,8 @@
 		}
 		if status == 200 {
 			b = append(b, "0\r\n\r\n"...)
-		} else { // danger: with its last chunk, a failed answer would be taken for a short successful one
-			s.closeAfterAnswer = true
+		} else { // with its last chunk, a failed response would look like a short successful one
+			s.closeAfterResponse = true
 		}
 	} else {
 		b = fmt.Appendf(b, "Content-Length: %d\r\n\r\n", len(body))
@@ -467,7 +470,7 @@
 	}
 	s.headSent = false
 	s.conn.Write(b)
-	if s.closeAfterAnswer {
+	if s.closeAfterResponse {
 		s.close()
 	} else if s.conn.Pending() > maxUnreadBytes+len(b) {
 		s.server.Faults.Add("client-deaf", "protocol", "clickhouse")
@@ -480,9 +483,10 @@
 	413: "Payload Too Large", 417: "Expectation Failed", 423: "Locked", 431: "Request Header Fields Too Large",
 	500: "Internal Server Error", 501: "Not Implemented", 503: "Service Unavailable", 505: "HTTP Version Not Supported"}
 
-// answerHead returns the first lines of an answer. closes states that the connection is closed afterwards.
-func answerHead(status int, contentType string, closes bool) []byte {
-	b := fmt.Appendf(nil, "HTTP/1.1 %d %s\r\nContent-Type: %s\r\nX-ClickHouse-Server-Display-Name: thymeway\r\nX-ClickHouse-Timezone: UTC\r\n",
+// responseHead returns the first lines of a response. closes states that the connection is closed afterwards.
+func responseHead(status int, contentType string, closes bool) []byte {
+	b := fmt.Appendf(nil,
+		"HTTP/1.1 %d %s\r\nContent-Type: %s\r\nX-ClickHouse-Server-Display-Name: thymeway\r\nX-ClickHouse-Timezone: UTC\r\n",
 		status, reasonPhrases[status], contentType)
 	if closes {
 		return append(b, "Connection: close\r\n"...)
@@ -496,8 +500,8 @@
 	if !errors.As(err, &ex) {
 		ex = &exception{codeProtocol, err.Error()}
 	}
-	info, known := codes[ex.code]
-	if !known { // an engine's exception, whose text already contains its name
+	info, known := exceptionCodes[ex.code]
+	if !known { // an engine's exception, whose text already contains the name of its code
 		info.status = 400
 	}
 	if status == 0 {
@@ -513,7 +517,7 @@
 		text += " (" + info.name + ") (version " + serverVersion + ")"
 	}
 	body := fmt.Appendf(nil, "Code: %d. DB::Exception: %s\n", ex.code, text)
-	s.writeAnswer(status, mediaPlain, fields, body, q != nil && q.headOnly)
+	s.writeResponse(status, mediaPlain, fields, body, q != nil && q.headOnly)
 }
 
 // Serve answers the open query with its result.
@@ -546,7 +550,7 @@
 	if q.contentEncoding != "" {
 		fields = append(fields, [2]string{"Content-Encoding", q.contentEncoding}, [2]string{"Vary", "Accept-Encoding"})
 	}
-	s.writeAnswer(200, outputFormat.contentType, fields, body, q.headOnly)
+	s.writeResponse(200, outputFormat.contentType, fields, body, q.headOnly)
 }
 
 // Refuse answers that the query has not run, so a retry is harmless. retryAfter is the advised pause in ms; 0: none.
@@ -560,7 +564,7 @@
 	s.processInput()
 }
 
-// Fail answers that the query has failed. The answer does not state whether the query has run.
+// Fail answers that the query has failed. The response does not state whether the query has run.
 func (s *Session) Fail(message string) {
 	code := codeNoConnection
 	if s.query != nil && s.server.Now() >= s.query.Deadline-s.server.Margin {
@@ -577,7 +581,8 @@
 	s.processInput()
 }
 
-// Progress sends a progress header, if the client has asked for them. share is the part done, from 0 to 1.
+// Progress sends a progress header if the client has requested progress headers. share is the completed part of the query, from
+// 0 to 1.
 func (s *Session) Progress(share float64) {
 	if s.query == nil || !s.query.wantsProgress || s.closed || s.query.headOnly {
 		return
@@ -585,7 +590,7 @@
 	var b []byte
 	if !s.headSent {
 		s.headSent = true
-		b = answerHead(200, formats[s.query.format].contentType, s.closeAfterAnswer)
+		b = responseHead(200, formats[s.query.format].contentType, s.closeAfterResponse)
 	}
 	const totalRows = 1000 // nominal, as only the share is known
 	b = fmt.Appendf(b, "X-ClickHouse-Progress: {\"read_rows\":\"%d\",\"read_bytes\":\"0\",\"total_rows_to_read\":\"%d\",\"elapsed_ns\":\"%.0f\"}\r\n",
@@ -602,7 +607,7 @@
 	s.cleanUp()
 }
 
-// Closed is called when the client has closed the connection or it has failed. Nobody needs the open query any more.
+// Closed is called when the client has closed the connection or the connection has failed. An open query is dropped.
 func (s *Session) Closed(transport.EndReason) {
 	if !s.closed {
 		s.cleanUp()
@@ -611,7 +616,7 @@
 
 // cleanUp ends a session whose connection is closed: it drops the open query and frees all that the session holds.
 func (s *Session) cleanUp() {
-	s.closed, s.input, s.received, s.head = true, nil, nil, nil
+	s.closed, s.input, s.receivedBody, s.head = true, nil, nil, nil
 	delete(s.server.sessions, s)
 	s.slot.Release()
 	for _, e := range []*deadline.Entry{&s.requestTimer, &s.resumeTimer, &s.idleTimer} {
--- a/internal/chhttp/server_info.go
+++ b/internal/chhttp/server_info.go
@@ -8,17 +8,19 @@
 	"thymeway/internal/result"
 )
 
-// Queries that are answered without an engine: those that clients send on connecting to ask about the server, and KILL QUERY.
+// Patterns of the queries that are answered without an engine: questions about the server, which clients send after they
+// connect, and KILL QUERY.
 var (
-	serverInfoPattern = regexp.MustCompile(`(?is)^select\s+([a-z0-9_]+(?:\(\))?(?:\s+as\s+[a-z_0-9]+)?(?:\s*,\s*[a-z0-9_]+(?:\(\))?(?:\s+as\s+[a-z_0-9]+)?)*)$`)
-	killPattern       = regexp.MustCompile(`(?is)^kill\s+query\s+where\s+query_id\s*=\s*'((?:[^'\\]|\\.|'')*)'(?:\s+(sync|async|test))?$`)
+	serverInfoPattern = regexp.MustCompile(
+		`(?is)^select\s+([a-z0-9_]+(?:\(\))?(?:\s+as\s+[a-z_0-9]+)?(?:\s*,\s*[a-z0-9_]+(?:\(\))?(?:\s+as\s+[a-z_0-9]+)?)*)$`)
+	killPattern = regexp.MustCompile(
+		`(?is)^kill\s+query\s+where\s+query_id\s*=\s*'((?:[^'\\]|\\.|'')*)'(?:\s+(sync|async|test))?$`)
 )
 
-// The server version that clients are told. It states which interface is supported.
 const (
-	serverVersion      = "24.8.1.1"
-	serverRevision     = 54460
-	maxLocalQueryBytes = 512 // longer texts are not matched against the patterns above
+	serverVersion      = "24.8.1.1" // ClickHouse version whose interface is supported, as reported to clients
+	serverRevision     = 54460      // revision of the native protocol, as reported to clients
+	maxLocalQueryBytes = 512        // longer texts are not matched against the patterns above
 )
 
 // answerServerInfo answers a query about the server, such as its version or time zone. ok is false for any other query.
--- a/internal/chhttp/server_test.go
+++ b/internal/chhttp/server_test.go
@@ -22,27 +22,27 @@
 	closed bool
 }
 
-func (s *fakeConn) Write(b []byte) { s.output.Write(b) }
-func (s *fakeConn) Close()         { s.closed = true }
+func (c *fakeConn) Write(b []byte) { c.output.Write(b) }
+func (c *fakeConn) Close()         { c.closed = true }
 func (s *fakeConn) Pending() int   { return 0 }
 func (s *fakeConn) Idle() bool     { return true }
 func (s *fakeConn) CloseWrite()    {}
-func (s *fakeConn) Abort()         { s.Close() }
+func (c *fakeConn) Abort()         { c.Close() }
 
 // fakeCoordinator accepts all requests and keeps them open.
 type fakeCoordinator struct {
-	book *shape.Catalog
-	open map[string]*coordinator.Request
+	catalog *shape.Catalog
+	open    map[string]*coordinator.Request
 }
 
 func (t *fakeCoordinator) Check(*coordinator.Request) error { return nil }
-func (t *fakeCoordinator) Recognise(r *coordinator.Request) {
+func (c *fakeCoordinator) Recognise(r *coordinator.Request) {
 	if r.Shape == nil {
-		r.Shape = t.book.Recognise(r.Statement, r.Dialect, 0)
+		r.Shape = c.catalog.Recognise(r.Statement, r.Dialect, 0)
 	}
 }
-func (t *fakeCoordinator) Take(r *coordinator.Request) { t.open[r.ID] = r }
-func (t *fakeCoordinator) Drop(r *coordinator.Request) { delete(t.open, r.ID) }
+func (c *fakeCoordinator) Take(r *coordinator.Request) { c.open[r.ID] = r }
+func (c *fakeCoordinator) Drop(r *coordinator.Request) { delete(c.open, r.ID) }
 
 // newTestServer returns a server for 8 connections, its coordinator and the clock that it reads.
 func newTestServer(t testing.TB) (*Server, *fakeCoordinator, *float64) {
@@ -60,8 +60,8 @@
 // post is a complete request for a query.
 const post = "POST /?user=acme HTTP/1.1\r\nHost: x\r\nContent-Length: 31\r\n\r\nSELECT a FROM sales_17.orders  "
 
-// A query that fails after the status line was sent ends without its last chunk. With it, the client would take the failed answer
-// for a short successful one.
+// A query that fails after the status line was sent ends without the last chunk. With that chunk, the client would take the
+// failed response for a short successful one.
 func TestFailureAfterProgress(t *testing.T) {
 	for name, end := range map[string]func(session *Session){"failed": func(session *Session) { session.Fail("no engine") },
 		"refused": func(session *Session) { session.Refuse(500) },
@@ -83,8 +83,8 @@
 	}
 }
 
-// At the connection limit, a connection that is idle or has sent nothing is closed in favor of a new one. One with an open
-// request is never closed. A query on a connection beyond the limit is refused with an error that permits a retry.
+// At the connection limit, a connection that is idle or has sent nothing is closed in favor of a new one. A connection with an
+// open request is never closed. A query on a connection beyond the limit is refused with an error that permits a retry.
 func TestConnectionLimit(t *testing.T) {
 	srv, coord, _ := newTestServer(t)
 	var all []*fakeConn
@@ -173,8 +173,8 @@
 	}
 }
 
-// A client that keeps writing behind an open request is disconnected and its request dropped. Otherwise the answer would be
-// delivered to a session that has no request.
+// A client that keeps writing behind an open request is disconnected and its request dropped. If the request stayed open, its
+// result would be delivered to a session that has no request.
 func TestInputLimitBehindOpenRequest(t *testing.T) {
 	for _, maxHeldBytes := range []int{0, 4096} {
 		srv, coord, _ := newTestServer(t)
--- a/internal/chhttp/types.go
+++ b/internal/chhttp/types.go
@@ -16,13 +16,13 @@
 type kind uint8
 
 const (
-	kindText kind = iota // any type that is not known; its values are passed on as text
+	kindText kind = iota // any unknown type; its values are passed on as text
 	kindInt
 	kindUint
 	kindFloat
 	kindBool
 	kindString
-	kindFixed
+	kindFixedString
 	kindDate
 	kindDate32
 	kindDateTime
@@ -36,7 +36,7 @@
 
 // columnType holds the properties of a column's type that are needed to write its values.
 type columnType struct {
-	name        string // in binary results; without LowCardinality, whose values have another encoding
+	name        string // as written in binary formats: without LowCardinality, whose values have another encoding
 	kind        kind
 	size        int // bytes of a value; 0: variable
 	scale       int // decimal places of a Decimal or DateTime64
@@ -110,7 +110,7 @@
 	}
 	if inner, ok := typeArguments(text, "FixedString"); ok {
 		if n, err := strconv.Atoi(inner); err == nil && n > 0 && n <= 1<<16 {
-			return set(kindFixed, n)
+			return set(kindFixedString, n)
 		}
 	}
 	if inner, ok := typeArguments(text, "DateTime"); ok {
@@ -196,7 +196,7 @@
 	return false, false
 }
 
-// appendLittleEndian appends the lowest bytes of a number, lowest first.
+// appendLittleEndian appends the lowest size bytes of a number in little-endian order.
 func appendLittleEndian(dst []byte, number uint64, size int) []byte {
 	var b [8]byte
 	binary.LittleEndian.PutUint64(b[:], number)
@@ -209,7 +209,7 @@
 	switch t.kind {
 	case kindString:
 		return append(binary.AppendUvarint(dst, uint64(len(text))), text...), nil
-	case kindFixed:
+	case kindFixedString:
 		if len(text) > t.size {
 			return invalid()
 		}
@@ -326,7 +326,7 @@
 	return append(dst, b...), nil
 }
 
-// appendZero appends the placeholder that Native has in the data of a column for a NULL.
+// appendZero appends the placeholder that a NULL has in the column data of Native.
 func (t *columnType) appendZero(dst []byte) []byte {
 	if t.kind == kindString {
 		return append(dst, 0)
--- a/internal/classify/classify.go
+++ b/internal/classify/classify.go
@@ -13,8 +13,8 @@
 	ReadClass, AggregateClass, WriteClass string                // classes by kind of statement; "": chosen from Classes
 }
 
-// Role returns what the statements of a class may do. By default, a class that holds its table group writes, and a class
-// whose queries are safe to repeat reads. Other classes may do anything.
+// Role returns what the statements of a class may do. By default, the statements of a class that holds its table
+// group may write, and those of a class whose queries are safe to repeat may only read. Those of other classes may do anything.
 func (r Rules) Role(class string) shape.Role {
 	if role, ok := r.Roles[class]; ok {
 		return role
@@ -31,19 +31,19 @@
 	return shape.AnyRole
 }
 
-// ClassOf returns the class of a statement that is sent without one. ok is false if no class fits. Danger: a statement of
-// unknown kind may write, so it gets the class of statements that write.
+// ClassOf returns the class of a statement that is sent without one. ok is false if no class fits. A statement of unknown
+// kind may write, so it gets the class of statements that write.
 func (r Rules) ClassOf(kind shape.Kind) (name string, ok bool) {
 	writes := kind == shape.Write || kind == shape.Unknown
-	named := r.ReadClass
+	configured := r.ReadClass
 	switch {
 	case writes:
-		named = r.WriteClass
+		configured = r.WriteClass
 	case kind == shape.Aggregate:
-		named = r.AggregateClass
+		configured = r.AggregateClass
 	}
-	if named != "" {
-		return named, true
+	if configured != "" {
+		return configured, true
 	}
 	timeout := 0.0
 	for _, class := range r.Classes {
--- a/internal/classify/classify_test.go
+++ b/internal/classify/classify_test.go
@@ -11,6 +11,7 @@
 	{Name: "audit", ClientTimeout: 9000, Idempotency: choice.AtMostOnce},
 	{Name: "load", ClientTimeout: 20000, Idempotency: choice.Deduplicated, IsLoad: true}}
 
+// A role set for a class must take precedence over the one that follows from the class's other settings.
 func TestRoles(t *testing.T) {
 	r := Rules{Classes: classes, Roles: map[string]shape.Role{"report": shape.AnyRole}}
 	for class, want := range map[string]shape.Role{"lookup": shape.ReadRole, "report": shape.AnyRole, "load": shape.WriteRole,
--- a/internal/clock/monitor.go
+++ b/internal/clock/monitor.go
@@ -18,7 +18,7 @@
 	Offset float64 // sum of all steps in ms
 }
 
-// Monitor detects steps of the wall clock. It is used by one goroutine.
+// Monitor detects steps of the wall clock. It must be used by one goroutine only.
 type Monitor struct {
 	read       func() (wall, elapsed float64) // reads both clocks at the same moment, in ms
 	difference float64                        // wall minus elapsed time at the last sample
--- a/internal/clock/monitor_test.go
+++ b/internal/clock/monitor_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A step of the wall clock must be counted once, with its size. Passing time and slewing are no steps.
-func TestMonitorSeesSteps(t *testing.T) {
+// A step of the wall clock must be counted once, with its size. Passing time and slewing must not count as steps.
+func TestMonitorCountsSteps(t *testing.T) {
 	wall, elapsed := 1.7e12, 0.0
 	m := newMonitor(func() (float64, float64) { return wall, elapsed })
 	for _, c := range []struct {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -31,7 +31,7 @@
 	// Settings of the program that do not concern the scheduler, in ms.
 	ConnectTimeout  float64
 	ConnIdleTimeout float64
-	AnswerSlack     float64
+	AnswerSlack     float64         // invariants.answerSlackMs; only checked here
 	settingsText    json.RawMessage // JSON text of the settings as read
 }
 
@@ -63,10 +63,10 @@
 	defaultMemoryMB       = 192.0
 	defaultSockets        = 1024
 	minSockets            = 64
-	clientSocketDivisor   = 3 // clients get the descriptors divided by this
-	defaultConnectTimeout = 250.0
-	defaultConnIdle       = 15000.0
-	defaultAnswerSlack    = 20.0
+	clientSocketDivisor   = 3       // clients get the descriptors divided by this
+	defaultConnectTimeout = 250.0   // ms
+	defaultConnIdle       = 15000.0 // ms
+	defaultAnswerSlack    = 20.0    // ms
 )
 
 // FromEnvironment reads the configuration file that EDGE_CONFIG names, and the local settings in the file localPath.
@@ -109,17 +109,17 @@
 // Parse parses the text of a configuration file. Unless empty, name and listen override its values. The local settings have
 // their defaults.
 func Parse(text []byte, name, listen string) (Config, error) {
-	var f file
-	if err := json.Unmarshal(text, &f); err != nil {
+	var parsed file
+	if err := json.Unmarshal(text, &parsed); err != nil {
 		return Config{}, fmt.Errorf("configuration: %s", describeJSONError(err))
 	}
 	local, err := ParseLocal(nil)
 	if err != nil {
 		return Config{}, err
 	}
-	c := Config{Local: local, Name: firstNonEmpty(name, f.Name), Listen: firstNonEmpty(listen, f.Listen),
-		DiscoveryAddr: f.Board, Known: f.Known, Cores: valueOr(f.Limits.Cores, defaultCores),
-		MemoryMB: valueOr(f.Limits.MemoryMB, defaultMemoryMB), Sockets: valueOr(f.Limits.Sockets, defaultSockets)}
+	c := Config{Local: local, Name: firstNonEmpty(name, parsed.Name), Listen: firstNonEmpty(listen, parsed.Listen),
+		DiscoveryAddr: parsed.Board, Known: parsed.Known, Cores: valueOr(parsed.Limits.Cores, defaultCores),
+		MemoryMB: valueOr(parsed.Limits.MemoryMB, defaultMemoryMB), Sockets: valueOr(parsed.Limits.Sockets, defaultSockets)}
 	if c.Name == "" {
 		return c, fmt.Errorf("name: missing; set EDGE_NAME or the key")
 	}
@@ -129,10 +129,10 @@
 	if err := checkAddress("board", c.DiscoveryAddr); err != nil {
 		return c, err
 	}
-	if f.Seed != "" {
-		seed, err := strconv.ParseUint(f.Seed, 16, 64)
+	if parsed.Seed != "" {
+		seed, err := strconv.ParseUint(parsed.Seed, 16, 64)
 		if err != nil {
-			return c, fmt.Errorf("seed: %q is not up to 16 hex digits", f.Seed)
+			return c, fmt.Errorf("seed: %q is not up to 16 hex digits", parsed.Seed)
 		}
 		c.Seed = seed
 	}
@@ -143,26 +143,27 @@
 		return c, fmt.Errorf("limits.memory_mb: %v is under 16", c.MemoryMB)
 	case c.Sockets < minSockets:
 		return c, fmt.Errorf("limits.sockets: %d is under %d", c.Sockets, minSockets)
-	case len(f.Known) == 0:
+	case len(parsed.Known) == 0:
 		return c, fmt.Errorf("known: missing")
-	case len(f.Settings) == 0:
+	case len(parsed.Settings) == 0:
 		return c, fmt.Errorf("settings: missing")
 	}
-	s, err := wire.ParseSettings(f.Settings)
+	settings, err := wire.ParseSettings(parsed.Settings)
 	if err != nil {
 		return c, fmt.Errorf("settings: %s", describeJSONError(err))
 	}
-	if len(s.Classes) == 0 {
+	if len(settings.Classes) == 0 {
 		return c, fmt.Errorf("settings.categories: no class is named")
 	}
-	s.Seed = int64(c.Seed)
+	settings.Seed = int64(c.Seed)
 	// Client connections use at most a third of the descriptors, and each has one request.
-	if clientSockets := c.Sockets / clientSocketDivisor; s.MaxOpenRequests <= 0 || s.MaxOpenRequests > clientSockets {
-		s.MaxOpenRequests = clientSockets
+	if clientSockets := c.Sockets / clientSocketDivisor; settings.MaxOpenRequests <= 0 ||
+		settings.MaxOpenRequests > clientSockets {
+		settings.MaxOpenRequests = clientSockets
 	}
-	c.Scheduler, c.settingsText = s, f.Settings
+	c.Scheduler, c.settingsText = settings, parsed.Settings
 	var program programSettings
-	if err := json.Unmarshal(f.Settings, &program); err != nil {
+	if err := json.Unmarshal(parsed.Settings, &program); err != nil {
 		return c, fmt.Errorf("settings: %s", describeJSONError(err))
 	}
 	c.ConnectTimeout = valueOr(program.Ceilings.ConnectTimeoutMs, defaultConnectTimeout)
@@ -180,7 +181,7 @@
 }
 
 // RestartKeys returns the keys in which another configuration differs and which take effect after a restart only. The seed
-// and the known worker groups are not compared, since they differ with each reading.
+// and the known worker groups are not compared, since they differ each time the configuration is read.
 func (c Config) RestartKeys(other Config) (keys []string) {
 	var a, b bytes.Buffer
 	// Both texts were parsed before, so there is no error.
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -17,7 +17,7 @@
 }
 
 // Each error must name the invalid key.
-func TestFaults(t *testing.T) {
+func TestErrorsNameTheKey(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{`"name": "toy"`, `"name": ""`, "name: missing"},
 		{`"127.0.0.1:5499"`, `"here"`, `listen: "here" does not`},
@@ -40,6 +40,7 @@
 	}
 }
 
+// EDGE_NAME and EDGE_LISTEN must override the configuration file, and the error must name a missing EDGE_CONFIG.
 func TestEnvironment(t *testing.T) {
 	env := map[string]string{"EDGE_CONFIG": "../../examples/config.json", "EDGE_NAME": "n3", "EDGE_LISTEN": "127.0.0.1:7000"}
 	c, err := FromEnvironment(func(k string) string { return env[k] }, LocalFile)
@@ -54,7 +55,7 @@
 }
 
 // Each error in the local settings must name its section and key, and all errors are reported together.
-func TestLocalSettingsFaults(t *testing.T) {
+func TestLocalSettingsErrorsNameTheKey(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
 		{"[log]\nlevel = loud", "[log] level: "},
 		{"[shapes]\nmemory_kb = 7", "[shapes] memory_kb: 7 is neither"},
@@ -63,11 +64,11 @@
 		{"[shapes]\nevery_s = 0", "[shapes] every_s: "},
 		{"[shapes]\ncolour = red", "[shapes] colour: unknown key"},
 		{"[shapes]\nfile = a\nfile = b", "[shapes] file: given 2 times"},
-		{"[shapes]\n[log]\n[shapes]\n", "[shapes]: given twice"},
+		{"[shapes]\n[log]\n[shapes]\n", "[shapes]: section given twice"},
 		{"[shape]\nfile = a", "[shape]: unknown section"},
 		{"[class ]\nrole = any", "unknown section"},
 		{"[class lookup]\nrole = sings", "[class lookup] role: "},
-		{"file = a", "file: stands in no section"},
+		{"file = a", "file: key outside any section"},
 		{"[log\n", "unclosed section"},
 		{"[log]\nlevel = loud\n[shapes]\nevery_s = x", "[shapes] every_s: "},
 	} {
--- a/internal/config/local.go
+++ b/internal/config/local.go
@@ -68,49 +68,50 @@
 type setting struct {
 	section, key, defaultValue, description string
 	// set sets the value; name is the part of the section's name after its keyword.
-	set func(o *Local, name, v string) error
+	set func(local *Local, name, v string) error
 }
 
 // localSettings lists all keys. A star at the end of a section stands for a name.
 var localSettings = []setting{
 	{"log", "level", "info", "least level of the lines that are written: debug, info, warn or error",
-		func(o *Local, _, v string) error {
-			return o.LogLevel.UnmarshalText([]byte(v))
+		func(local *Local, _, v string) error {
+			return local.LogLevel.UnmarshalText([]byte(v))
 		}},
 	{"shapes", "memory_kb", "0", "memory for shapes of statements that are remembered, 64 to 65536; 0: 2% of the memory limit",
-		func(o *Local, _, v string) error {
+		func(local *Local, _, v string) error {
 			n, err := parseWhole(v, 0, 65536)
 			if err == nil && n > 0 && n < 64 {
 				return fmt.Errorf("%d is neither 0 nor from 64 to 65536", n)
 			}
-			o.Shapes.MaxBytes = n << 10
+			local.Shapes.MaxBytes = n << 10
 			return err
 		}},
 	{"shapes", "estimates", "fill", "fill: a request without an estimate gets the learned one; off: it gets none",
-		func(o *Local, _, v string) error {
+		func(local *Local, _, v string) error {
 			i, err := indexOfWord(v, "off", "fill")
-			o.Shapes.FillEstimates = i == 1
+			local.Shapes.FillEstimates = i == 1
 			return err
 		}},
 	{"shapes", "file", "", "file in which shapes are kept over a restart; empty: they are not",
-		func(o *Local, _, v string) error {
-			o.Shapes.File = v
+		func(local *Local, _, v string) error {
+			local.Shapes.File = v
 			return nil
 		}},
-	{"shapes", "every_s", "300", "seconds between two writings of that file, 1 to 86400", func(o *Local, _, v string) error {
+	{"shapes", "every_s", "300", "seconds between two writings of that file, 1 to 86400", func(local *Local, _, v string) error {
 		n, err := parseWhole(v, 1, 86400)
-		o.Shapes.SaveInterval = float64(n) * 1000
+		local.Shapes.SaveInterval = float64(n) * 1000
 		return err
 	}},
-	{"metrics", "listen", "", "IP:PORT at which Prometheus may ask for /metrics; empty: off", func(o *Local, _, v string) error {
-		if o.MetricsListen = v; v == "" {
-			return nil
-		}
-		_, err := netip.ParseAddrPort(v)
-		return err
-	}},
-	{"clickhouse", "listen", "", "IP:PORT of the ClickHouse HTTP interface; empty: off", func(o *Local, _, v string) error {
-		if o.ClickHouse.Listen = v; v == "" {
+	{"metrics", "listen", "", "IP:PORT at which Prometheus may ask for /metrics; empty: off",
+		func(local *Local, _, v string) error {
+			if local.MetricsListen = v; v == "" {
+				return nil
+			}
+			_, err := netip.ParseAddrPort(v)
+			return err
+		}},
+	{"clickhouse", "listen", "", "IP:PORT of the ClickHouse HTTP interface; empty: off", func(local *Local, _, v string) error {
+		if local.ClickHouse.Listen = v; v == "" {
 			return nil
 		}
 		_, err := netip.ParseAddrPort(v)
@@ -118,69 +119,69 @@
 	}},
 	{"clickhouse", "read_class", "",
 		"class of statements that read; empty: the class that may be repeated at will and gives up first",
-		func(o *Local, _, v string) error {
-			o.ClickHouse.ReadClass = v
+		func(local *Local, _, v string) error {
+			local.ClickHouse.ReadClass = v
 			return nil
 		}},
 	{"clickhouse", "aggregate_class", "",
 		"class of those that aggregate; empty: the class that may be repeated at will and gives up last",
-		func(o *Local, _, v string) error {
-			o.ClickHouse.AggregateClass = v
+		func(local *Local, _, v string) error {
+			local.ClickHouse.AggregateClass = v
 			return nil
 		}},
 	{"clickhouse", "write_class", "", "class of those that write; empty: the first class that holds its tables",
-		func(o *Local, _, v string) error {
-			o.ClickHouse.WriteClass = v
+		func(local *Local, _, v string) error {
+			local.ClickHouse.WriteClass = v
 			return nil
 		}},
 	{"clickhouse", "key_header", "X-Order-Key", "header with the key in whose order writes run",
-		func(o *Local, _, v string) error {
+		func(local *Local, _, v string) error {
 			if strings.ContainsAny(v, " \t:") || v == "" {
-				return fmt.Errorf("%q can't name a header", v)
+				return fmt.Errorf("%q is not a valid header name", v)
 			}
-			o.ClickHouse.KeyHeader = strings.ToLower(v)
+			local.ClickHouse.KeyHeader = strings.ToLower(v)
 			return nil
 		}},
-	{"clickhouse", "key_setting", "order_key", "the same as a setting in the URL", func(o *Local, _, v string) error {
+	{"clickhouse", "key_setting", "order_key", "the same as a setting in the URL", func(local *Local, _, v string) error {
 		if v == "" {
 			return fmt.Errorf("empty")
 		}
-		o.ClickHouse.KeySetting = v
+		local.ClickHouse.KeySetting = v
 		return nil
 	}},
 	{"clickhouse", "max_body_kb", "1024", "largest body of a request once unpacked, 1 to 65536",
-		func(o *Local, _, v string) error {
+		func(local *Local, _, v string) error {
 			n, err := parseWhole(v, 1, 65536)
-			o.ClickHouse.MaxBodyBytes = n << 10
+			local.ClickHouse.MaxBodyBytes = n << 10
 			return err
 		}},
-	{"clickhouse", "max_result_kb", "4096", "largest result, 64 to 1048576", func(o *Local, _, v string) error {
+	{"clickhouse", "max_result_kb", "4096", "largest result, 64 to 1048576", func(local *Local, _, v string) error {
 		n, err := parseWhole(v, 64, 1<<20)
-		o.ClickHouse.MaxResultBytes = n << 10
+		local.ClickHouse.MaxResultBytes = n << 10
 		return err
 	}},
 	{"clickhouse", "keep_alive_s", "10", "seconds for which an idle connection is kept, 1 to 3600",
-		func(o *Local, _, v string) error {
+		func(local *Local, _, v string) error {
 			n, err := parseWhole(v, 1, 3600)
-			o.ClickHouse.KeepAlive = float64(n) * 1000
+			local.ClickHouse.KeepAlive = float64(n) * 1000
 			return err
 		}},
-	{"clickhouse", "display_name", "thymeway", "what displayName() tells", func(o *Local, _, v string) error {
-		o.ClickHouse.DisplayName = v
+	{"clickhouse", "display_name", "thymeway", "what displayName() tells", func(local *Local, _, v string) error {
+		local.ClickHouse.DisplayName = v
 		return nil
 	}},
 	{"user *", "tenant", "", "the member that a user of the ClickHouse interface belongs to; empty: the one of its name",
-		func(o *Local, name, v string) error {
-			u := o.Users[name]
+		func(local *Local, name, v string) error {
+			u := local.Users[name]
 			if u.Tenant = v; v == "" {
 				u.Tenant = name
 			}
-			o.Users[name] = u
+			local.Users[name] = u
 			return nil
 		}},
 	{"user *", "password_sha256", "", "SHA-256 of its password in hex; empty: none is asked for",
-		func(o *Local, name, v string) error {
-			u := o.Users[name]
+		func(local *Local, name, v string) error {
+			u := local.Users[name]
 			u.PasswordHash = strings.ToLower(v)
 			if b, err := hex.DecodeString(v); err != nil || v != "" && len(b) != 32 {
 				return fmt.Errorf("not 64 hex digits")
@@ -188,39 +189,39 @@
 			if u.Tenant == "" {
 				u.Tenant = name
 			}
-			o.Users[name] = u
+			local.Users[name] = u
 			return nil
 		}},
 	{"kind *", "protocol", "rest", "what engines of a kind speak: rest, the platform's protocol, or clickhouse",
-		func(o *Local, name, v string) error {
+		func(local *Local, name, v string) error {
 			_, err := indexOfWord(v, "rest", "clickhouse")
-			k := o.Kinds[name]
+			k := local.Kinds[name]
 			k.Protocol = v
-			o.Kinds[name] = k
+			local.Kinds[name] = k
 			return err
 		}},
 	{"kind *", "user", "", "user with which ClickHouse engines of the kind are asked; empty: none is told",
-		func(o *Local, name, v string) error {
-			k := o.Kinds[name]
+		func(local *Local, name, v string) error {
+			k := local.Kinds[name]
 			k.User = v
-			o.Kinds[name] = k
+			local.Kinds[name] = k
 			return checkHeaderValue(v)
 		}},
-	{"kind *", "password", "", "its password", func(o *Local, name, v string) error {
-		k := o.Kinds[name]
+	{"kind *", "password", "", "its password", func(local *Local, name, v string) error {
+		k := local.Kinds[name]
 		k.Password = v
-		o.Kinds[name] = k
+		local.Kinds[name] = k
 		return checkHeaderValue(v)
 	}},
 	{"class *", "role", "",
 		"what a class's statements may do: reads, writes or any; empty: loads write, what may be repeated at will reads",
-		func(o *Local, name, v string) error {
+		func(local *Local, name, v string) error {
 			if v == "" {
 				return nil
 			}
 			i, err := indexOfWord(v, "reads", "writes", "any")
 			if err == nil {
-				o.Roles[name] = []shape.Role{shape.ReadRole, shape.WriteRole, shape.AnyRole}[i]
+				local.Roles[name] = []shape.Role{shape.ReadRole, shape.WriteRole, shape.AnyRole}[i]
 			}
 			return err
 		}},
@@ -230,7 +231,7 @@
 func checkHeaderValue(v string) error {
 	for i := 0; i < len(v); i++ {
 		if v[i] < ' ' || v[i] == 0x7f {
-			return fmt.Errorf("byte %q can't stand in a header", v[i])
+			return fmt.Errorf("byte %q is not allowed in a header value", v[i])
 		}
 	}
 	return nil
@@ -285,25 +286,26 @@
 	if len(text) > maxLocalFileBytes {
 		return local, fmt.Errorf("file of %d bytes exceeds the limit of %d bytes", len(text), maxLocalFileBytes)
 	}
-	f, err := ini.LoadSources(ini.LoadOptions{AllowShadows: true, AllowNonUniqueSections: true, KeyValueDelimiters: "="}, text)
+	parsed, err := ini.LoadSources(ini.LoadOptions{AllowShadows: true, AllowNonUniqueSections: true, KeyValueDelimiters: "="},
+		text)
 	if err != nil {
 		return local, err
 	}
-	var faults []error
-	fault := func(section, key, format string, args ...any) {
-		faults = append(faults, fmt.Errorf("[%s] %s: %s", section, key, fmt.Sprintf(format, args...)))
+	var errs []error
+	addError := func(section, key, format string, args ...any) {
+		errs = append(errs, fmt.Errorf("[%s] %s: %s", section, key, fmt.Sprintf(format, args...)))
 	}
 	seen := map[string]bool{}
-	for _, s := range f.Sections() {
+	for _, s := range parsed.Sections() {
 		name := s.Name()
 		if name == ini.DefaultSection {
 			for _, k := range s.Keys() {
-				faults = append(faults, fmt.Errorf("%s: stands in no section", k.Name()))
+				errs = append(errs, fmt.Errorf("%s: key outside any section", k.Name()))
 			}
 			continue
 		}
 		if seen[name] {
-			faults = append(faults, fmt.Errorf("[%s]: given twice", name))
+			errs = append(errs, fmt.Errorf("[%s]: section given twice", name))
 		}
 		seen[name] = true
 		sectionKnown := false
@@ -312,24 +314,24 @@
 			sectionKnown = sectionKnown || ok
 		}
 		if !sectionKnown {
-			faults = append(faults, fmt.Errorf("[%s]: unknown section", name))
+			errs = append(errs, fmt.Errorf("[%s]: unknown section", name))
 			continue
 		}
 		for _, k := range s.Keys() {
 			known, arg, ok := findSetting(name, k.Name())
 			switch values := k.ValueWithShadows(); {
 			case !ok:
-				fault(name, k.Name(), "unknown key")
+				addError(name, k.Name(), "unknown key")
 			case len(values) > 1:
-				fault(name, k.Name(), "given %d times", len(values))
+				addError(name, k.Name(), "given %d times", len(values))
 			default:
 				if err := known.set(&local, arg, k.Value()); err != nil {
-					fault(name, k.Name(), "%v", err)
+					addError(name, k.Name(), "%v", err)
 				}
 			}
 		}
 	}
-	return local, errors.Join(faults...)
+	return local, errors.Join(errs...)
 }
 
 // matchSection reports whether a section of the file can hold this setting, and returns the name after its keyword.
@@ -391,10 +393,10 @@
 // CheckReferences returns an error for each local setting that names a class, tenant or kind which the platform's
 // configuration does not have.
 func (c Config) CheckReferences() error {
-	var faults []error
+	var errs []error
 	checkClass := func(section, key, name string) {
 		if name != "" && !slices.ContainsFunc(c.Scheduler.Classes, func(k choice.Class) bool { return k.Name == name }) {
-			faults = append(faults, fmt.Errorf("[%s] %s: no class %q in settings.categories", section, key, name))
+			errs = append(errs, fmt.Errorf("[%s] %s: no class %q in settings.categories", section, key, name))
 		}
 	}
 	for name := range c.Local.Roles {
@@ -406,18 +408,18 @@
 	for name, u := range c.Local.Users {
 		if len(c.Scheduler.Tenants) > 0 &&
 			!slices.ContainsFunc(c.Scheduler.Tenants, func(t choice.Tenant) bool { return t.Name == u.Tenant }) {
-			faults = append(faults, fmt.Errorf("[user %s] tenant: no tenant %q in settings.tenants", name, u.Tenant))
+			errs = append(errs, fmt.Errorf("[user %s] tenant: no tenant %q in settings.tenants", name, u.Tenant))
 		}
 	}
 	for name := range c.Local.Kinds {
 		if len(c.Scheduler.Kinds) > 0 &&
 			!slices.ContainsFunc(c.Scheduler.Kinds, func(k choice.Kind) bool { return k.Name == name }) {
-			faults = append(faults, fmt.Errorf("[kind %s]: no kind of that name in settings.models", name))
+			errs = append(errs, fmt.Errorf("[kind %s]: no kind of that name in settings.models", name))
 		}
 	}
 	if c.Local.ClickHouse.Listen != "" && c.Local.ClickHouse.Listen == c.Listen {
-		faults = append(faults, errors.New("[clickhouse] listen: the address is already used for PostgreSQL clients"))
+		errs = append(errs, errors.New("[clickhouse] listen: the address is already used for PostgreSQL clients"))
 	}
-	slices.SortFunc(faults, func(a, b error) int { return strings.Compare(a.Error(), b.Error()) })
-	return errors.Join(faults...)
+	slices.SortFunc(errs, func(a, b error) int { return strings.Compare(a.Error(), b.Error()) })
+	return errors.Join(errs...)
 }
--- a/internal/connlimit/limiter.go
+++ b/internal/connlimit/limiter.go
@@ -10,7 +10,7 @@
 
 // Connection is a client connection.
 type Connection interface {
-	InputEmpty() bool // reports that the connection is open and all received data has been read
+	InputEmpty() bool // reports whether the connection is open and all received data has been read
 	Evict()           // closes the connection in favor of another one
 }
 
@@ -27,7 +27,7 @@
 	unused, idle list.List
 }
 
-// Slot is the slot of one connection.
+// Slot represents a connection that counts towards the limit, from Limiter.Acquire to Release.
 type Slot struct {
 	limiter  *Limiter
 	conn     Connection
@@ -39,23 +39,23 @@
 // Count returns the number of slots in use.
 func (l *Limiter) Count() int { return l.count }
 
-// Acquire gives a slot to a new connection. If excess is true, the connection is beyond the limit and may only be sent an
-// error. If ok is false, there is no room even for that, and the connection has to be closed.
+// Acquire returns a slot for a new connection. If excess is true, the connection is beyond the limit and may only be sent an
+// error. If ok is false, it is beyond maxExcess as well and has to be closed at once.
 func (l *Limiter) Acquire(conn Connection) (s *Slot, excess, ok bool) {
 	s = &Slot{limiter: l, conn: conn}
 	l.count++
 	if l.MaxConnections <= 0 || l.count <= l.MaxConnections || l.evictOne() {
 		return s, false, true
 	}
-	if l.count > l.MaxConnections+maxExcess { // danger: without free descriptors, no client could connect or be served
+	if l.count > l.MaxConnections+maxExcess { // open connections must not use up the descriptors: no client could be served then
 		l.Faults.Add("client-excess", "connections", l.count)
 		return s, true, false
 	}
 	return s, true, true
 }
 
-// evictOne closes a connection without a request and reports whether there was one. Danger: a connection with received data
-// that has not been read yet may have sent a request, so it is kept.
+// evictOne closes a connection without a request and reports whether there was one. A connection with received data that
+// has not been read yet may have sent a request, so it is kept.
 func (l *Limiter) evictOne() bool {
 	for _, candidates := range []*list.List{&l.unused, &l.idle} {
 		for e := candidates.Front(); e != nil; e = e.Next() {
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -40,7 +40,7 @@
 	Database string
 }
 
-// ProgressReceiver is implemented by a Client that is to be told the progress of its request: the share done, from 0 to 1.
+// ProgressReceiver is implemented by a Client that receives the progress of its request, as the share done, from 0 to 1.
 type ProgressReceiver interface{ Progress(share float64) }
 
 // AttemptListener receives the events of attempts and probes. Its methods may be called before the call that starts the
@@ -54,7 +54,8 @@
 	ProbeEnded(Outcome)
 }
 
-// Client receives the answer to a request: exactly one of these calls for each request, and none after Drop.
+// Client receives the answer to a request. Exactly one of its methods is called for each request, and none after
+// Coordinator.Drop.
 type Client interface {
 	Serve(r *result.Set)
 	Refuse(retryAfter float64) // ms after which a retry is advised; 0: no advice
@@ -67,7 +68,7 @@
 	Engine    string
 	Number    int
 	Grant     float64 // MB; 0: chosen by the engine
-	Threads   float64 // on which queries of its class run
+	Threads   float64 // number of threads on which queries of its class run
 	WaitUntil float64 // time at which waiting for its end stops
 
 	NotAfter float64 // time after which it must not be sent any more; 0: only WaitUntil applies
@@ -119,9 +120,9 @@
 	answered    bool
 
 	sentAt           float64             // when the latest attempt was sent
-	lastEnd          transport.EndReason // end of the latest attempt that has ended
+	lastEnd          transport.EndReason // of the attempt that ended last
 	mayHaveRun       bool                // an attempt has ended without proof that it never ran
-	mayHaveRunSentAt float64             // time of sending the first such attempt
+	mayHaveRunSentAt float64             // when the first attempt that may have run was sent
 }
 
 // Coordinator connects the scheduler with clients and backends, and holds all open requests. All its methods are called
@@ -134,24 +135,24 @@
 	wake            func() // requests a call of Turn
 	requests        map[string]*openRequest
 	pendingEvents   []choice.Event
-	unanswered      int // requests without an answer
-	classes         map[string]choice.Class
-	tenantIndexes   map[string]int // positions in the settings
+	unanswered      int                     // requests without an answer
+	classes         map[string]choice.Class // by name
+	tenantIndexes   map[string]int          // positions in the settings
 	statements      StatementOptions
-	roles           map[string]shape.Role
-	unproven        [shape.NumReasons]uint64
-	Accounts        accounting.Counters
-	RetryReasons    accounting.ReasonCounts // repeated attempts, by the end of the previous attempt
-	UnservedReasons accounting.ReasonCounts // refused and failed requests, by reason
+	roles           map[string]shape.Role    // by class
+	unprovenCounts  [shape.NumReasons]uint64 // requests whose statements were not proven safe to repeat, by reason
+	Accounts        accounting.Counters      // requests by tenant, class and protocol
+	RetryReasons    accounting.ReasonCounts  // repeated attempts, by the end of the previous attempt
+	UnservedReasons accounting.ReasonCounts  // refused and failed requests, by reason
 	storms          *stormMonitor
-	stormsLoggedAt  float64
+	stormsLoggedAt  float64 // when retry storm states were last checked for changes to log
 }
 
 // StatementOptions configures how statements are recognized.
 type StatementOptions struct {
 	Shapes        *shape.Catalog
-	Role          func(class string) shape.Role
-	FillEstimates bool // use the learned estimate for requests without one
+	Role          func(class string) shape.Role // what the statements of a class may do
+	FillEstimates bool                          // use the learned estimate for requests without one
 	Faults        *faultlog.FaultLog
 }
 
@@ -187,6 +188,7 @@
 	return nil
 }
 
+// knowsTenant reports whether the settings name the tenant.
 func (c *Coordinator) knowsTenant(tenant string) bool {
 	_, ok := c.tenantIndexes[tenant]
 	return ok
@@ -202,13 +204,13 @@
 
 // prepare recognizes a request's statement and fills in a missing estimate of its work. A request whose statement is not
 // proven to keep the promise of its class is still accepted and passed on unchanged, but it is never sent again once it may
-// have run. Danger: without this, a write that its client sends under a class of lookups could run twice.
+// have run. Without this, a write that its client sends under a class of lookups could run twice.
 func (c *Coordinator) prepare(r *Request) {
 	c.Recognise(r)
-	if doubt := shape.CheckRole(c.roles[r.Class], &r.Shape.Info); doubt != shape.NoReason {
+	if reason := shape.CheckRole(c.roles[r.Class], &r.Shape.Info); reason != shape.NoReason {
 		r.AtMostOnce, r.unproven = true, true
-		c.unproven[doubt]++
-		c.statements.Faults.Add("statement-doubted", "why", doubt, "class", r.Class, "kind", r.Shape.Kind,
+		c.unprovenCounts[reason]++
+		c.statements.Faults.Add("statement-doubted", "why", reason, "class", r.Class, "kind", r.Shape.Kind,
 			"shape", r.Shape.Name())
 	}
 	if r.clientEstimate = r.Work; r.Work <= 0 && c.statements.FillEstimates {
@@ -222,7 +224,7 @@
 }
 
 // Unproven returns the number of requests whose statements were not proven safe to repeat for the given reason.
-func (c *Coordinator) Unproven(doubt shape.Reason) uint64 { return c.unproven[doubt] }
+func (c *Coordinator) Unproven(reason shape.Reason) uint64 { return c.unprovenCounts[reason] }
 
 // Unanswered returns the number of requests without an answer.
 func (c *Coordinator) Unanswered() int { return c.unanswered }
@@ -236,7 +238,7 @@
 // Take accepts a request. A request that cannot be passed to the scheduler is failed immediately.
 func (c *Coordinator) Take(r *Request) {
 	if c.requests[r.ID] != nil {
-		// Danger: neither the scheduler nor a worker group can tell two requests with the same id apart.
+		// Neither the scheduler nor a worker group can tell two requests with the same id apart.
 		r.Client.Fail("a request with this id is still open")
 		return
 	}
@@ -258,8 +260,8 @@
 	c.enqueue(r.Request)
 }
 
-// accountKey returns the key under which a request is counted. Danger: if the settings name no tenants, clients may send
-// any tenant name, and separate counts for each name would grow without bound.
+// accountKey returns the key under which a request is counted. If the settings name no tenants, clients may send any tenant
+// name. These names are counted together, since separate counts for each would grow without bound.
 func (c *Coordinator) accountKey(r *Request) accounting.Key {
 	key := accounting.Key{Tenant: r.Tenant, Class: r.Class, Protocol: r.Protocol}
 	if !c.knowsTenant(r.Tenant) {
@@ -279,8 +281,8 @@
 	c.enqueue(choice.ClientGone{Request: r.ID})
 }
 
-// finish marks a request as answered, counts its ending, and removes it once no attempt is in flight. work is the work
-// reported with the result; the latency target grows with it. Without it, the estimate is used.
+// finish marks a request as answered, counts its ending, and removes it once no attempt is in flight. The latency target grows
+// with work, which is the work reported with the result, or 0 to use the estimate.
 func (c *Coordinator) finish(open *openRequest, ending accounting.Ending, work float64) {
 	if !open.answered {
 		open.answered = true
@@ -351,7 +353,7 @@
 		Duration: o.Duration, RequestEnded: answered, Work: o.Work, Mem: o.Mem, Report: o.Report})
 }
 
-// RequestOverdue tells the scheduler that the time of a request is over while its attempt may still run.
+// RequestOverdue reports to the scheduler that the time of a request is over while its attempt may still be running.
 func (c *Coordinator) RequestOverdue(request string) {
 	if c.requests[request] != nil {
 		logs.Trace("overdue", request)
--- a/internal/coordinator/storm_monitor_test.go
+++ b/internal/coordinator/storm_monitor_test.go
@@ -13,15 +13,15 @@
 // must be attributed to that tenant and not to the other. Repeats that PostgreSQL clients mark count as well. First tries
 // that arrive between the refusals of another tenant do not.
 func TestStormOfOneTenant(t *testing.T) {
-	book := shape.NewCatalog(shape.Options{MaxBytes: 1 << 16})
+	catalog := shape.NewCatalog(shape.Options{MaxBytes: 1 << 16})
 	monitor := newStormMonitor(map[string]int{"loud": 0, "quiet": 1})
 	now, n := 0.0, 0
-	arrive := func(tenant, idem, protocol string, repeat bool) *Request {
+	arrive := func(tenant, key, protocol string, repeat bool) *Request {
 		n++
-		r := &Request{IdempotencyKey: idem, Protocol: protocol,
+		r := &Request{IdempotencyKey: key, Protocol: protocol,
 			Statement: fmt.Sprintf("SELECT c%d FROM sales_3.t WHERE id = %d", n%7, n)}
 		r.ID, r.Tenant, r.Class, r.Repeat = fmt.Sprint(n), tenant, "lookup", repeat
-		r.Shape = book.Recognise(r.Statement, shape.Postgres, 0)
+		r.Shape = catalog.Recognise(r.Statement, shape.Postgres, 0)
 		if protocol == "clickhouse" {
 			r.ClickHouse = &ClickHouse{}
 		}
--- a/internal/deadline/deadline.go
+++ b/internal/deadline/deadline.go
@@ -6,8 +6,8 @@
 // Entry is one deadline. Its zero value with Do set is ready for use; an entry is in the queue at most once.
 type Entry struct {
 	Do     func()
-	at     float64
-	seq    uint64
+	at     float64 // ms
+	seq    uint64  // number of the Set call; orders entries with the same time
 	queued bool
 }
 
@@ -30,7 +30,7 @@
 	})}
 }
 
-// Set schedules an entry, or moves it if it is scheduled already. Do is called by RunDue once the time at has come.
+// Set schedules an entry for the time at, or moves it if it is scheduled already. RunDue calls Do once that time is reached.
 func (q *Queue) Set(e *Entry, at float64) {
 	q.Cancel(e)
 	q.seq++
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -39,7 +39,7 @@
 // All returns the servers in the order in which they were first listed.
 func (d *Directory[S]) All() []S { return d.order }
 
-// Update records the address of a server, or that it was removed. fresh creates a server that was not known.
+// Update records the address of a server, or that it was removed. create is called for a server that was not known.
 func (d *Directory[S]) Update(id, addr string, removed bool, create func(Record) S) {
 	if d.byID == nil {
 		d.byID, d.byAddr = map[string]S{}, map[string]S{}
@@ -54,8 +54,8 @@
 	}
 	record := s.DirectoryRecord()
 	if addr != "" && addr != record.Addr {
-		// Danger: a new server may have the address of a removed one. No connection or query of the old server may be used
-		// for the new one.
+		// A new server may have the address of a removed one. The old server loses the address, so that none of its
+		// connections and queries is used for the new server.
 		if owner, taken := d.byAddr[addr]; taken {
 			owner.DirectoryRecord().Addr = ""
 			owner.CloseIdle()
@@ -71,16 +71,16 @@
 	}
 }
 
-// RemoveUnlisted processes a complete list: servers whose ids it does not name are removed.
-func (d *Directory[S]) RemoveUnlisted(named map[string]bool) {
+// RemoveUnlisted applies a complete list: servers whose ids are not in it are removed.
+func (d *Directory[S]) RemoveUnlisted(listed map[string]bool) {
 	for _, s := range slices.Clone(d.order) {
-		if record := s.DirectoryRecord(); !named[record.ID] && !record.Removed {
+		if record := s.DirectoryRecord(); !listed[record.ID] && !record.Removed {
 			d.Update(record.ID, "", true, nil)
 		}
 	}
 }
 
-// RemoveIfUnused forgets a removed server if it is unused, and reports whether it did.
+// RemoveIfUnused deletes a removed server from the directory if it is unused, and reports whether it did.
 func (d *Directory[S]) RemoveIfUnused(s S) bool {
 	record := s.DirectoryRecord()
 	if !record.Removed || !s.Unused() || d.byID[record.ID] != s {
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -17,7 +17,7 @@
 func (s *server) Unused() bool  { return s.busy == 0 }
 
 // In whatever order updates arrive, an address belongs to at most one server, the one last listed with it. A removed server
-// is kept as long as it is in use and then forgotten, and servers stay in the order in which they were first listed.
+// is kept as long as it is in use and then deleted, and servers stay in the order in which they were first listed.
 func TestDirectory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var d Directory[*server]
@@ -26,14 +26,14 @@
 		for range rapid.IntRange(1, 60).Draw(t, "updates") {
 			id, addr, removed := ids.Draw(t, "id"), addrs.Draw(t, "addr"), rapid.IntRange(0, 3).Draw(t, "removed") == 0
 			_, known := d.Get(id)
-			d.Update(id, addr, removed, func(p Record) *server { return &server{Record: p} })
+			d.Update(id, addr, removed, func(record Record) *server { return &server{Record: record} })
 			if (known || !removed) && addr != "" {
 				last[addr] = id
 			}
 			if s, ok := d.Get(id); ok {
 				s.busy = rapid.IntRange(0, 1).Draw(t, "busy")
-				if forgotten := d.RemoveIfUnused(s); forgotten != (s.Removed && s.busy == 0) {
-					t.Fatalf("%s: forgotten %v, removed %v, busy %d", id, forgotten, s.Removed, s.busy)
+				if deleted := d.RemoveIfUnused(s); deleted != (s.Removed && s.busy == 0) {
+					t.Fatalf("%s: deleted %v, removed %v, busy %d", id, deleted, s.Removed, s.busy)
 				}
 			}
 			seen := map[string]bool{}
@@ -56,10 +56,10 @@
 	})
 	var d Directory[*server]
 	for i := range 3 {
-		d.Update(fmt.Sprint(i), "1", false, func(p Record) *server { return &server{Record: p, busy: 1} })
+		d.Update(fmt.Sprint(i), "1", false, func(record Record) *server { return &server{Record: record, busy: 1} })
 	}
-	if x := d.All(); x[0].addressTaken != 1 || x[1].addressTaken != 1 || x[2].addressTaken != 0 ||
-		x[0].Addr != "" || x[2].Addr != "1" {
-		t.Errorf("%+v %+v %+v", x[0], x[1], x[2])
+	if servers := d.All(); servers[0].addressTaken != 1 || servers[1].addressTaken != 1 || servers[2].addressTaken != 0 ||
+		servers[0].Addr != "" || servers[2].Addr != "1" {
+		t.Errorf("%+v %+v %+v", servers[0], servers[1], servers[2])
 	}
 }
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -1,5 +1,5 @@
-// Package discovery is the client of the discovery service, which sends numbered changes of the list of worker groups, one per
-// line.
+// Package discovery implements the client of the discovery service, which sends numbered changes of the list of worker
+// groups, one per line.
 package discovery
 
 import (
@@ -47,26 +47,27 @@
 	UpSinceMs float64 `json:"up_since_ms"`
 }
 
-// engines converts the worker groups of an event to the coordinator's form. Their start times are still the timestamps of
+// engines converts the worker groups of an event to the coordinator's form. Their start times remain the Unix timestamps of
 // the event.
 func (e event) engines() (complete bool, list []coordinator.ListedEngine, err error) {
-	for _, m := range e.Pool.Members {
-		engine := coordinator.ListedEngine{Addr: m.HostPort, Engine: choice.Engine{ID: m.ID, Zone: m.Locality, Kind: m.Flavor,
-			Size: m.Size, Cell: m.Cell, StartedAt: m.UpSinceMs}}
-		switch m.Phase {
+	for _, listed := range e.Pool.Members {
+		engine := coordinator.ListedEngine{Addr: listed.HostPort, Engine: choice.Engine{ID: listed.ID, Zone: listed.Locality,
+			Kind: listed.Flavor, Size: listed.Size, Cell: listed.Cell, StartedAt: listed.UpSinceMs}}
+		switch listed.Phase {
 		case "Ready":
 		case "Terminating":
 			engine.Status = choice.Draining
 		case "Gone":
 			engine.Status = choice.Removed
 		default:
-			return false, nil, fmt.Errorf("phase %.40q is unknown", m.Phase)
+			return false, nil, fmt.Errorf("phase %.40q is unknown", listed.Phase)
 		}
-		if m.ID == "" {
+		if listed.ID == "" {
 			return false, nil, fmt.Errorf("id: missing")
 		}
-		if _, err := netip.ParseAddrPort(m.HostPort); err != nil && (engine.Status != choice.Removed || m.HostPort != "") {
-			return false, nil, fmt.Errorf("host_port: %.60q does not have the form IP:PORT", m.HostPort)
+		if _, err := netip.ParseAddrPort(listed.HostPort); err != nil &&
+			(engine.Status != choice.Removed || listed.HostPort != "") {
+			return false, nil, fmt.Errorf("host_port: %.60q does not have the form IP:PORT", listed.HostPort)
 		}
 		list = append(list, engine)
 	}
@@ -140,8 +141,8 @@
 	if *e.Rev <= w.revision {
 		return nil
 	}
-	// Danger: the service sends the latest revision every second, without a pool. A later revision than the current one
-	// means that an event was lost. If this were ignored, that event would never be applied.
+	// The service sends the latest revision every second, without a pool. A later revision than the current one means that an
+	// event was lost. Without this error, that event would never be applied.
 	if e.Pool == nil {
 		return fmt.Errorf("events up to %d are missing", *e.Rev)
 	}
@@ -198,8 +199,8 @@
 	w.Dialer.Dial(w.Addr, c)
 }
 
-// disconnect closes the connection and schedules a new one. Danger: a coordinator is expected to act on every published
-// change, connected or not, so the delay before reconnecting stays short.
+// disconnect closes the connection and schedules a new one. The delay before it stays short, since a coordinator is expected to
+// act on every published change, even on those published while it was not connected.
 func (c *connection) disconnect(why string, reason transport.EndReason) {
 	if c.watcher.current != c {
 		return
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -16,7 +16,7 @@
 	handler  transport.Handler
 	fd       int
 	pending  []byte // written, but not accepted by the system yet
-	closed   bool   // closed locally or ended; the handler gets at most the Closed call that is scheduled
+	closed   bool   // closed locally or ended; after that the handler gets at most the Closed call that fail has scheduled
 	interest uint32 // events that the poller waits for
 }
 
--- a/internal/eventloop/dial.go
+++ b/internal/eventloop/dial.go
@@ -24,7 +24,7 @@
 	fd       int
 	tries    int
 	timer    deadline.Entry // runs at the deadline, or for the next try
-	deadline float64        // by which the connection must be established
+	deadline float64        // time in ms by which the connection must be established
 }
 
 // Dial opens a connection to an address of the form IP:PORT; see transport.Dialer.
@@ -68,7 +68,7 @@
 	}
 	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
 	err = d.loop.syscalls.connect(fd, sa)
-	if err == unix.EINPROGRESS || err == unix.EINTR { // after an interruption, the system goes on connecting
+	if err == unix.EINPROGRESS || err == unix.EINTR { // the system goes on connecting after an interruption
 		err = nil
 	}
 	if err == nil {
@@ -90,8 +90,8 @@
 		err = unix.Errno(code)
 	}
 	if err == nil {
-		// Danger: a connection that was reset right after it was established may report no error any more. It has no
-		// peer address then, and without this check it would be reported as opened.
+		// A connection that was reset right after it was established may report no error any more, but has no peer address.
+		// Without this check it would be reported as opened.
 		_, err = unix.Getpeername(d.fd)
 	}
 	if err != nil {
@@ -131,7 +131,7 @@
 		return transport.ConnRefused
 	case isResourceShortage(err):
 		return transport.NoDescriptor
-	// Danger: a connection that was established and reset at once shows nothing about the process behind it. Reported as
+	// A connection that was established and reset at once proves nothing about the process behind it. If it were reported as
 	// Unreachable, it would count as a failure to connect.
 	case errors.Is(err, unix.ECONNRESET), errors.Is(err, unix.EPIPE), errors.Is(err, unix.ENOTCONN):
 		return transport.ConnReset
--- a/internal/eventloop/faults_test.go
+++ b/internal/eventloop/faults_test.go
@@ -70,7 +70,7 @@
 	}
 }
 
-// bulkHandler writes a long text and compares what is echoed.
+// bulkHandler writes a long text, compares it with its echo and reports the result, or the reason for an early end.
 type bulkHandler struct {
 	text     []byte
 	received bytes.Buffer
@@ -85,8 +85,8 @@
 }
 func (b *bulkHandler) Closed(e transport.EndReason) { b.done <- e.String() }
 
-// Guards against temporary errors ending more than they should: EINTR on a read or write used to end the connection, and a failed
-// accept the loop.
+// Guards against connections or the loop ending because of temporary errors: EINTR on a read or write used to end the
+// connection, and a failed accept used to end the loop.
 func TestConnectionsSurviveTransientSyscallFailures(t *testing.T) {
 	for seed := int64(1); seed <= 10; seed++ {
 		const connections = 20
@@ -121,8 +121,8 @@
 	}
 }
 
-// Guards against blaming the other side for a dial that failed for lack of local resources: it must be retried, and then end
-// with NoDescriptor. A descriptor may be freed only if descriptors are what is missing.
+// Guards against reporting a dial that failed for lack of local resources as a failure of the other side: it must be retried,
+// and then end with NoDescriptor. FreeDescriptor may be called only if the process has run out of descriptors.
 func TestDialReportsLocalResourceShortage(t *testing.T) {
 	for _, fault := range []error{unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EADDRNOTAVAIL, unix.EAGAIN} {
 		calls := systemCalls()
@@ -131,14 +131,14 @@
 			tries++
 			return fault
 		}
-		p := &helloHandler{result: make(chan string, 1)}
+		handler := &helloHandler{result: make(chan string, 1)}
 		l := &Loop{Deadlines: deadline.New(), Now: clock.New().Now, ConnectTimeout: 5000, syscalls: calls, Turn: func() {},
 			FreeDescriptor: func() { freed++ }}
-		l.OnStart = func() { l.Dial("127.0.0.1:9", p) }
+		l.OnStart = func() { l.Dial("127.0.0.1:9", handler) }
 		ended := make(chan error, 1)
 		go func() { ended <- l.Run() }()
 		select {
-		case got := <-p.result:
+		case got := <-handler.result:
 			if got != transport.NoDescriptor.String() {
 				t.Errorf("%v: reported as %s", fault, got)
 			}
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -14,10 +14,10 @@
 
 // Limits and delays of listening and accepting.
 const (
-	maxAcceptBatch    = 64   // connections accepted in a row; events of other connections are handled after that
-	acceptRetryDelay  = 10.0 // ms before accepting is resumed after an error such as a shortage of descriptors
-	acceptLogInterval = 10e3 // ms between two log lines about failures to accept
-	listenBacklog     = math.MaxUint16
+	maxAcceptBatch    = 64             // connections accepted in a row; events of other connections are handled after that
+	acceptRetryDelay  = 10.0           // ms before accepting is resumed after an error such as a shortage of descriptors
+	acceptLogInterval = 10e3           // ms between two log lines about failures to accept
+	listenBacklog     = math.MaxUint16 // connections that wait to be accepted; the system applies its own limit as well
 	maxListenRetries  = 100
 	listenRetryDelay  = 50 * time.Millisecond
 )
@@ -29,7 +29,7 @@
 	fd       int
 	retry    deadline.Entry // resumes accepting after a failure
 	failures int            // since the last log line
-	loggedAt float64
+	loggedAt float64        // time in ms of that log line
 }
 
 // listen starts listening at an address. If the system lacks resources, it retries for about 5 s.
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -15,18 +15,19 @@
 )
 
 const (
-	readBufferBytes = 64 << 10 // most bytes read at a time
-	maxWait         = 3600e3   // ms
+	readBufferBytes = 64 << 10 // maximum number of bytes read at a time
+	maxWait         = 3600e3   // ms; longest wait for events
 )
 
 // Loop is the event loop. Each batch of events, due deadline and request for a turn is followed by one turn.
 type Loop struct {
-	Deadlines      *deadline.Queue
-	Now            func() float64                       // ms, on the clock of Deadlines
-	Accept         func(listener int) transport.Handler // makes the handler of a connection; listener: index of its address in Run
-	Turn           func()                               // runs in each turn, after the due deadlines
-	OnStart        func()                               // runs once on the loop, before the first event
-	FreeDescriptor func()                               // called to free a descriptor when the system has none left; may be nil
+	Deadlines *deadline.Queue
+	Now       func() float64 // ms, on the clock of Deadlines
+	// Accept returns the handler of a new connection. listener is the index of its address among those given to Run.
+	Accept         func(listener int) transport.Handler
+	Turn           func() // runs in each turn, after the due deadlines
+	OnStart        func() // runs once on the loop, before the first event
+	FreeDescriptor func() // called to free a descriptor when the system has none left; may be nil
 	// ConnectTimeout is the time in ms within which a dialled connection has to be established.
 	ConnectTimeout float64
 
@@ -43,7 +44,7 @@
 	mu          sync.Mutex
 	running     bool     // the poller is open, so that Do may wake it
 	wakePending bool     // the poller was woken, and the jobs have not run yet
-	jobs        []func() // given to Do
+	jobs        []func() // functions given to Do that have not run yet
 }
 
 // Run listens at addresses of the form IP:PORT and runs the loop until Stop is called.
@@ -134,6 +135,7 @@
 	}
 }
 
+// setRunning records whether the poller is open.
 func (l *Loop) setRunning(on bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -26,14 +26,14 @@
 	text   string
 }
 
-func (p *helloHandler) Opened(c transport.Conn) { p.conn = c; c.Write([]byte("hello")) }
-func (p *helloHandler) Received(b []byte) {
-	if p.text += string(b); len(p.text) == 5 {
-		p.conn.Close()
-		p.result <- p.text
+func (h *helloHandler) Opened(c transport.Conn) { h.conn = c; c.Write([]byte("hello")) }
+func (h *helloHandler) Received(b []byte) {
+	if h.text += string(b); len(h.text) == 5 {
+		h.conn.Close()
+		h.result <- h.text
 	}
 }
-func (p *helloHandler) Closed(e transport.EndReason) { p.result <- e.String() }
+func (h *helloHandler) Closed(e transport.EndReason) { h.result <- e.String() }
 
 // freeAddr returns an address whose port was free a moment ago.
 func freeAddr(t *testing.T) string {
@@ -45,15 +45,16 @@
 	return l.Addr().String()
 }
 
-// Dial must report an open port, a refused one, an invalid address, and a connection that was reset while it was established.
+// Guards against wrong end reasons of dialled connections: Dial must tell apart an open port, a port on which nothing listens,
+// an invalid address, and a connection that was reset while it was being established.
 func TestDial(t *testing.T) {
 	addr, refused := freeAddr(t), freeAddr(t)
-	up, no := &helloHandler{result: make(chan string, 2)}, &helloHandler{result: make(chan string, 2)}
+	echoed, rejected := &helloHandler{result: make(chan string, 2)}, &helloHandler{result: make(chan string, 2)}
 	l := &Loop{Deadlines: deadline.New(), Now: clock.New().Now, ConnectTimeout: 5000,
 		Accept: func(int) transport.Handler { return &echoHandler{} }, Turn: func() {}}
 	l.OnStart = func() {
-		l.Dial(refused, no)
-		l.Dial(addr, up)
+		l.Dial(refused, rejected)
+		l.Dial(addr, echoed)
 	}
 	ended := make(chan error, 1)
 	go func() { ended <- l.Run(addr) }()
@@ -70,20 +71,20 @@
 			t.Fatalf("no %q within 30 s", want)
 		}
 	}
-	wait(up.result, "hello")
-	wait(no.result, "refused")
-	bad := &helloHandler{result: make(chan string, 2)}
-	l.Do(func() { l.Dial("nowhere", bad) })
-	wait(bad.result, "unreached")
+	wait(echoed.result, "hello")
+	wait(rejected.result, "refused")
+	invalid := &helloHandler{result: make(chan string, 2)}
+	l.Do(func() { l.Dial("nowhere", invalid) })
+	wait(invalid.result, "unreached")
 	// A connection that was reset right after it was established has no peer address any more, like this unconnected
 	// socket. It must be reported as ended, not as opened.
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	gone := &helloHandler{result: make(chan string, 2)}
-	l.Do(func() { (&pendingDial{loop: l, handler: gone, fd: fd}).finish() })
-	wait(gone.result, "broken")
+	reset := &helloHandler{result: make(chan string, 2)}
+	l.Do(func() { (&pendingDial{loop: l, handler: reset, fd: fd}).finish() })
+	wait(reset.result, "broken")
 	l.Do(l.Stop)
 	select {
 	case err := <-ended:
--- a/internal/eventloop/poller.go
+++ b/internal/eventloop/poller.go
@@ -13,9 +13,9 @@
 	errorOrHangup = unix.EPOLLERR | unix.EPOLLHUP
 )
 
-const maxEventBatch = 256 // most events returned by one wait
+const maxEventBatch = 256 // maximum number of events returned by one wait
 
-// poller waits for events on many descriptors by epoll, and can be woken from any goroutine.
+// poller waits for events on many descriptors with epoll, and can be woken from any goroutine.
 type poller struct {
 	epollFD  int
 	wakeFD   int // an eventfd
@@ -44,6 +44,7 @@
 	return err
 }
 
+// close closes the epoll instance and the eventfd.
 func (p *poller) close() {
 	for _, fd := range []int{p.epollFD, p.wakeFD} {
 		if fd >= 0 {
@@ -52,12 +53,15 @@
 	}
 }
 
+// add starts waiting for events on a descriptor.
 func (p *poller) add(fd int, events uint32) error { return p.control(unix.EPOLL_CTL_ADD, fd, events) }
 
+// modify replaces the events to wait for on a descriptor.
 func (p *poller) modify(fd int, events uint32) error {
 	return p.control(unix.EPOLL_CTL_MOD, fd, events)
 }
 
+// control calls epoll_ctl for a descriptor.
 func (p *poller) control(op, fd int, events uint32) error {
 	return unix.EpollCtl(p.epollFD, op, fd, &unix.EpollEvent{Events: events, Fd: int32(fd)})
 }
--- a/internal/eventloop/syscalls.go
+++ b/internal/eventloop/syscalls.go
@@ -6,7 +6,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// syscalls are the system calls that may fail temporarily. Tests replace them by failing ones.
+// syscalls holds the system calls that may fail temporarily. Tests replace them with functions that fail at times.
 type syscalls struct {
 	accept  func(fd int) (int, error)
 	read    func(fd int, b []byte) (int, error)
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -29,7 +29,7 @@
 // Field is a header field. Its name is in lower case.
 type Field struct{ Name, Value string }
 
-// Head is the head of a request or a response.
+// Head holds the parsed first line and header fields of a request or a response.
 type Head struct {
 	Method, Target string // of a request
 	Status         int    // of a response
@@ -56,13 +56,13 @@
 	return "", false
 }
 
-// Limits are the limits of a head. Zero means no limit.
+// Limits bounds the size of a head. A value of zero means no limit.
 type Limits struct {
 	MaxBytes  int
 	MaxFields int
 }
 
-// isToken reports whether s is a valid field name or method.
+// isToken reports whether s is a token, as field names and methods have to be.
 func isToken(s string) bool {
 	for i := 0; i < len(s); i++ {
 		c := s[i]
@@ -94,8 +94,8 @@
 	return strings.ToLower(name)
 }
 
-// splitHead splits a head into its lines and returns its length. Danger: if two parsers disagree about where a line ends, a
-// request can be smuggled inside another one. So only CR LF ends a line.
+// splitHead splits a head into its lines and returns its length. Only CR LF ends a line: if another parser on the way saw line
+// ends elsewhere, a request could be smuggled inside another one.
 func splitHead(b []byte, l Limits) (lines []string, n int, err error) {
 	end := bytes.Index(b, []byte("\r\n\r\n"))
 	if end < 0 {
@@ -117,8 +117,8 @@
 // ParseRequest parses the head of a request at the start of b and returns its length. It rejects everything that another
 // parser could interpret differently.
 func ParseRequest(b []byte, l Limits) (*Head, int, error) {
-	// Danger: without this check, input with bare line feeds, or in another protocol, would look incomplete, and the connection
-	// would stay open until the timeout.
+	// Without this check, input with bare line feeds or in another protocol would look incomplete, and the connection would stay
+	// open until the timeout.
 	if i := bytes.IndexByte(b, '\n'); i == 0 || i > 0 && b[i-1] != '\r' {
 		return nil, 0, protocolErrorf(400, "a line that does not end with CR LF")
 	} else if i < 0 && len(b) > 0 && (b[0] < 'A' || b[0] > 'Z') {
@@ -277,57 +277,57 @@
 
 // Limits of a chunked body's framing.
 const (
-	maxChunkLineBytes = 64 // of the line with a chunk's size and extensions
-	maxTrailerBytes   = 4096
+	maxChunkLineBytes = 64   // bytes of the line with a chunk's size and extensions
+	maxTrailerBytes   = 4096 // bytes of all trailer fields
 )
 
 // BodyDecoder decodes a body as its bytes arrive.
 type BodyDecoder struct {
-	maxBytes     int64 // of the body's data
-	remaining    int64 // bytes of the current chunk, or of a body with a length
-	received     int64 // bytes of the body's data
+	maxBytes     int64 // maximum size of the body's data
+	remaining    int64 // bytes of the current chunk, or of a body with a length, that have not been decoded yet
+	received     int64 // bytes of the body's data that have been decoded
 	chunked      bool
 	state        uint8
-	trailerBytes int // decoded so far
+	trailerBytes int // bytes of the trailer that have been decoded
 }
 
 // States of a BodyDecoder.
 const (
-	stateData = iota
-	stateChunkSize
-	stateChunkEnd // before the CR LF behind a chunk
-	stateTrailer  // behind the last chunk, of size 0
-	stateDone
+	stateData      = iota // within the data of a chunk, or of a body with a length
+	stateChunkSize        // before the line with the size of a chunk
+	stateChunkEnd         // before the CR LF behind a chunk
+	stateTrailer          // behind the last chunk, of size 0
+	stateDone             // behind the end of the body
 )
 
 // NewBodyDecoder returns a decoder for the body of the message, which may have at most maxBytes. It returns an error if the head
 // already shows that the body is longer.
 func (h *Head) NewBodyDecoder(maxBytes int64) (*BodyDecoder, error) {
-	b := &BodyDecoder{maxBytes: maxBytes, remaining: h.ContentLength, chunked: h.Chunked}
+	d := &BodyDecoder{maxBytes: maxBytes, remaining: h.ContentLength, chunked: h.Chunked}
 	switch {
 	case h.Chunked:
-		b.state = stateChunkSize
+		d.state = stateChunkSize
 	case h.ContentLength > maxBytes:
 		return nil, protocolErrorf(413, "a body of %d bytes, %d may be", h.ContentLength, maxBytes)
 	case h.ContentLength <= 0:
-		b.state = stateDone
+		d.state = stateDone
 	}
-	return b, nil
+	return d, nil
 }
 
 // Done reports whether the body is complete.
-func (b *BodyDecoder) Done() bool { return b.state == stateDone }
+func (d *BodyDecoder) Done() bool { return d.state == stateDone }
 
 // Decode decodes a part of p. It returns the bytes of the body, as a part of p, and how many bytes of p it consumed. If it
 // consumes none and returns no error, more bytes are needed.
-func (b *BodyDecoder) Decode(p []byte) (data []byte, used int, err error) {
-	switch b.state {
+func (d *BodyDecoder) Decode(p []byte) (data []byte, used int, err error) {
+	switch d.state {
 	case stateData:
-		n := int(min(b.remaining, int64(len(p))))
-		b.remaining -= int64(n)
-		if b.received += int64(n); b.remaining == 0 {
-			if b.state = stateDone; b.chunked {
-				b.state = stateChunkEnd
+		n := int(min(d.remaining, int64(len(p))))
+		d.remaining -= int64(n)
+		if d.received += int64(n); d.remaining == 0 {
+			if d.state = stateDone; d.chunked {
+				d.state = stateChunkEnd
 			}
 		}
 		return p[:n], n, nil
@@ -348,12 +348,12 @@
 		if parseErr != nil || text[0] == '+' || strings.IndexByte(text, '_') >= 0 {
 			return nil, 0, protocolErrorf(400, "chunk size %.40q", text)
 		}
-		if b.received+int64(size) > b.maxBytes {
-			return nil, 0, protocolErrorf(413, "a body over %d bytes", b.maxBytes)
+		if d.received+int64(size) > d.maxBytes {
+			return nil, 0, protocolErrorf(413, "a body over %d bytes", d.maxBytes)
 		}
-		b.remaining, b.state = int64(size), stateData
+		d.remaining, d.state = int64(size), stateData
 		if size == 0 {
-			b.state = stateTrailer
+			d.state = stateTrailer
 		}
 		return nil, i + 1, nil
 	case stateChunkEnd:
@@ -363,11 +363,11 @@
 		if p[0] != '\r' || p[1] != '\n' {
 			return nil, 0, protocolErrorf(400, "chunk without its end")
 		}
-		b.state = stateChunkSize
+		d.state = stateChunkSize
 		return nil, 2, nil
 	case stateTrailer: // trailer fields are ignored
 		i := bytes.IndexByte(p, '\n')
-		if i < 0 && b.trailerBytes+len(p) > maxTrailerBytes || b.trailerBytes+i > maxTrailerBytes {
+		if i < 0 && d.trailerBytes+len(p) > maxTrailerBytes || d.trailerBytes+i > maxTrailerBytes {
 			return nil, 0, protocolErrorf(431, "trailer over %d bytes", maxTrailerBytes)
 		}
 		if i < 0 {
@@ -376,8 +376,8 @@
 		if i == 0 || p[i-1] != '\r' {
 			return nil, 0, protocolErrorf(400, "a trailer that does not end with CR LF")
 		}
-		if b.trailerBytes += i + 1; i == 1 {
-			b.state = stateDone
+		if d.trailerBytes += i + 1; i == 1 {
+			d.state = stateDone
 		}
 		return nil, i + 1, nil
 	}
@@ -385,9 +385,9 @@
 }
 
 // DecodeAll decodes as much of p as it can. It appends the bytes of the body to dst and returns how many bytes of p it consumed.
-func (b *BodyDecoder) DecodeAll(dst, p []byte) (all []byte, used int, err error) {
-	for !b.Done() {
-		data, n, err := b.Decode(p[used:])
+func (d *BodyDecoder) DecodeAll(dst, p []byte) (all []byte, used int, err error) {
+	for !d.Done() {
+		data, n, err := d.Decode(p[used:])
 		if err != nil || n == 0 {
 			return dst, used, err
 		}
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -56,7 +56,8 @@
 func TestRequests(t *testing.T) {
 	for _, c := range []struct{ text, body string }{
 		{"POST /?a=b HTTP/1.1\r\nHost: x\r\nX-Y:  z \r\nContent-Length: 5\r\n\r\nhello", "hello"},
-		{"POST /?a=b HTTP/1.1\r\nhost: x\r\nX-Y: z\r\nTransfer-Encoding: Chunked\r\n\r\n2;x=y\r\nhe\r\n3 \r\nllo\r\n0\r\nT: r\r\n\r\n", "hello"},
+		{"POST /?a=b HTTP/1.1\r\nhost: x\r\nX-Y: z\r\nTransfer-Encoding: Chunked\r\n\r\n2;x=y\r\nhe\r\n3 \r\nllo\r\n0\r\nT: r\r\n\r\n",
+			"hello"},
 		{"POST /?a=b HTTP/1.1\r\nHost: x\r\nX-Y: z\r\n\r\n", ""},
 	} {
 		for cut := 1; cut <= len(c.text); cut++ {
@@ -116,6 +117,8 @@
 	}
 }
 
+// Guards against responses whose end is unclear: a response with an invalid head, or with a missing or contradictory length of
+// its body, must be rejected.
 func TestResponses(t *testing.T) {
 	h, n, err := ParseResponse([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX: y\r\n\r\nab"), limits)
 	if err != nil || n != 44 || h.Status != 200 || h.ContentLength != 2 || h.Get("x") != "y" || h.Close {
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,5 @@
 // Package metrics serves the coordinator's counters to Prometheus over HTTP. Its server runs in separate goroutines, which
-// work on copies of the counters. They request a copy from the event loop, with a bounded number of requests at a time.
+// work on copies of the counters. They request a copy from the event loop, with a bounded number of scrapes at a time.
 package metrics
 
 import (
@@ -22,18 +22,18 @@
 	Accounts          []accounting.Row
 	Shapes            shape.Stats
 	Unproven          map[string]uint64           // requests whose statement is not proven safe to repeat, by reason
-	Unanswered        int                         // requests owed an answer
+	Unanswered        int                         // accepted requests that are not answered yet
 	InFlight          int                         // attempts that may be running on an engine
 	ClientConnections int                         // open client connections
-	StormStates       map[string]retrystorm.State // by tenant; "" stands for all requests together
+	StormStates       map[string]retrystorm.State // by tenant; under "" that of all requests together
 	RetryReasons      []accounting.ReasonRow      // attempts after the first, by how the previous one ended
 	UnservedReasons   []accounting.ReasonRow      // requests refused or failed, by reason
 	Clock             clock.State
 }
 
 const (
-	snapshotTimeout      = 2 * time.Second // for the event loop to deliver a snapshot
-	maxConcurrentScrapes = 2
+	snapshotTimeout      = 2 * time.Second // within which the event loop has to deliver a snapshot
+	maxConcurrentScrapes = 2               // further scrapes are rejected
 )
 
 // collector is a prometheus.Collector that takes a new snapshot for each scrape.
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -43,15 +43,17 @@
 	counts.RecordEnd(accounting.Refused, 0, 0, 1, 0)
 	text := scrape(t, func(context.Context) (Snapshot, error) {
 		return Snapshot{Accounts: counters.Rows(), Unproven: map[string]uint64{"malformed": 2}, Unanswered: 1,
-			RetryReasons:    []accounting.ReasonRow{{ReasonKey: accounting.ReasonKey{Class: "load", Reason: "silent"}, Count: 2}},
-			UnservedReasons: []accounting.ReasonRow{{ReasonKey: accounting.ReasonKey{Class: "lookup", Reason: "capacity"}, Count: 5}},
-			Clock:           clock.State{Steps: 1, Offset: -3.6e6}}, nil
+			RetryReasons: []accounting.ReasonRow{{ReasonKey: accounting.ReasonKey{Class: "load", Reason: "silent"}, Count: 2}},
+			UnservedReasons: []accounting.ReasonRow{
+				{ReasonKey: accounting.ReasonKey{Class: "lookup", Reason: "capacity"}, Count: 5}},
+			Clock: clock.State{Steps: 1, Offset: -3.6e6}}, nil
 	})
 	for _, want := range []string{`thymeway_requests_total{class="lookup",protocol="clickhouse",tenant="acme"} 3`,
 		`thymeway_answers_total{class="lookup",ending="refused",protocol="clickhouse",tenant="acme"} 1`,
 		`thymeway_answer_seconds_bucket{class="lookup",protocol="clickhouse",tenant="acme",le="0.025"} 0`,
 		`thymeway_answer_seconds_bucket{class="lookup",protocol="clickhouse",tenant="acme",le="0.05"} 1`,
-		`thymeway_further_attempts_total{after="silent",class="load"} 2`, `thymeway_given_up_total{class="lookup",why="capacity"} 5`,
+		`thymeway_further_attempts_total{after="silent",class="load"} 2`,
+		`thymeway_given_up_total{class="lookup",why="capacity"} 5`,
 		`thymeway_clock_steps_total 1`, `thymeway_clock_offset_seconds -3600`,
 		`thymeway_doubted_total{why="malformed"} 2`, `thymeway_owed 1`, `thymeway_scrape_failed 0`} {
 		if !strings.Contains(text, want) {
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -16,12 +16,12 @@
 	written []byte
 }
 
-func (q *fakeConn) Write(b []byte) { q.written = b }
-func (q *fakeConn) Close()         {}
-func (q *fakeConn) Pending() int   { return 0 }
-func (q *fakeConn) Idle() bool     { return true }
-func (q *fakeConn) CloseWrite()    {}
-func (q *fakeConn) Abort()         { q.Close() }
+func (c *fakeConn) Write(b []byte) { c.written = b }
+func (c *fakeConn) Close()         {}
+func (c *fakeConn) Pending() int   { return 0 }
+func (c *fakeConn) Idle() bool     { return true }
+func (c *fakeConn) CloseWrite()    {}
+func (c *fakeConn) Abort()         { c.Close() }
 
 // fakeDialer establishes each connection at once.
 type fakeDialer struct{ conns []*fakeConn }
@@ -32,13 +32,14 @@
 	h.Opened(conn)
 }
 
-// BenchmarkRequest measures one PostgreSQL query from its arrival to its answer, which a worker group gives after 20 ms.
+// BenchmarkRequest measures one PostgreSQL query from its arrival to its answer. The worker group answers after 20 ms of virtual
+// time.
 func BenchmarkRequest(b *testing.B) {
-	c := configtest.Example(b)
+	cfg := configtest.Example(b)
 	now := 1.7e12
-	q := deadline.New()
+	deadlines := deadline.New()
 	dialer := &fakeDialer{}
-	n, err := New(c, dialer, q, func() float64 { return now }, func() {})
+	n, err := New(cfg, dialer, deadlines, func() float64 { return now }, func() {})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -53,7 +54,7 @@
 	for b.Loop() {
 		i++
 		now += 10
-		q.RunDue(now)
+		deadlines.RunDue(now)
 		text := fmt.Sprintf(
 			"/* verb=lookup,txn=%016x,limit=1500,team=acme,cpu=20,heap_mb=96 */ SELECT day, count(*), max(note) FROM sales_%d.orders WHERE tag = '%x' GROUP BY day\x00",
 			i, i%40, i)
--- a/internal/node/connlimit_test.go
+++ b/internal/node/connlimit_test.go
@@ -7,8 +7,8 @@
 	"thymeway/internal/deadline"
 )
 
-// Clients of both protocols share one connection limit. At the limit, a new connection of either protocol evicts the one that has
-// been idle longest, whatever its protocol, and never one with an open request.
+// Clients of both protocols share one connection limit. At the limit, a new connection evicts the one that has been idle longest,
+// whatever the protocols of the two, but never one with an open request.
 func TestProtocolsShareConnectionLimit(t *testing.T) {
 	c := configtest.Example(t)
 	c.Local.ClickHouse.Listen = "127.0.0.1:8123"
--- a/internal/node/exchanges_test.go
+++ b/internal/node/exchanges_test.go
@@ -46,39 +46,39 @@
 }
 
 // Write records the program's output: an HTTP message on one line, or each PostgreSQL message on a line of its own.
-func (s *scriptedConn) Write(b []byte) {
-	if s.closed {
+func (c *scriptedConn) Write(b []byte) {
+	if c.closed {
 		return
 	}
-	if s.http {
-		s.runner.print("%s< %s", s.name, strings.NewReplacer("\r\n", " | ", "\n", `\n`, "\t", `\t`).Replace(string(b)))
+	if c.http {
+		c.runner.print("%s< %s", c.name, strings.NewReplacer("\r\n", " | ", "\n", `\n`, "\t", `\t`).Replace(string(b)))
 		return
 	}
-	if !s.isClient {
-		s.runner.print("%s< %s", s.name, strings.NewReplacer("\r\n", " | ", "\n", `\n`).Replace(string(b)))
+	if !c.isClient {
+		c.runner.print("%s< %s", c.name, strings.NewReplacer("\r\n", " | ", "\n", `\n`).Replace(string(b)))
 		return
 	}
-	s.unparsed = append(s.unparsed, b...)
-	for len(s.unparsed) > 0 {
-		if s.unparsed[0] == 'N' && len(s.unparsed) == 1 {
-			s.runner.print("%s< no encryption", s.name)
-			s.unparsed = nil
+	c.unparsed = append(c.unparsed, b...)
+	for len(c.unparsed) > 0 {
+		if c.unparsed[0] == 'N' && len(c.unparsed) == 1 {
+			c.runner.print("%s< no encryption", c.name)
+			c.unparsed = nil
 			return
 		}
-		size := 1 + int(binary.BigEndian.Uint32(s.unparsed[1:]))
-		s.printMessage(s.unparsed[0], s.unparsed[5:size])
-		s.unparsed = s.unparsed[size:]
+		size := 1 + int(binary.BigEndian.Uint32(c.unparsed[1:]))
+		c.printMessage(c.unparsed[0], c.unparsed[5:size])
+		c.unparsed = c.unparsed[size:]
 	}
 }
 
 // printMessage records a PostgreSQL message. ParameterStatus messages are omitted.
-func (s *scriptedConn) printMessage(kind byte, body []byte) {
+func (c *scriptedConn) printMessage(kind byte, body []byte) {
 	switch kind {
 	case 'S':
 		return
 	case 'K':
-		s.runner.cancelKeys[s.name] = append([]byte(nil), body...)
-		s.runner.print("%s< K", s.name)
+		c.runner.cancelKeys[c.name] = append([]byte(nil), body...)
+		c.runner.print("%s< K", c.name)
 	case 'E':
 		text := ""
 		for _, field := range strings.Split(strings.Trim(string(body), "\x00"), "\x00") {
@@ -86,7 +86,7 @@
 				text += " " + field[1:]
 			}
 		}
-		s.runner.print("%s< E%s", s.name, text)
+		c.runner.print("%s< E%s", c.name, text)
 	case 'D':
 		var cols []string
 		for b := body[2:]; len(b) > 0; {
@@ -94,35 +94,35 @@
 			cols = append(cols, string(b[4:end]))
 			b = b[end:]
 		}
-		s.runner.print("%s< D %s", s.name, strings.Join(cols, "|"))
+		c.runner.print("%s< D %s", c.name, strings.Join(cols, "|"))
 	case 'C':
-		s.runner.print("%s< C %s", s.name, strings.Trim(string(body), "\x00"))
+		c.runner.print("%s< C %s", c.name, strings.Trim(string(body), "\x00"))
 	default:
-		s.runner.print("%s< %c", s.name, kind)
+		c.runner.print("%s< %c", c.name, kind)
 	}
 }
 
-func (s *scriptedConn) Close() {
-	if !s.closed {
-		s.closed = true
-		s.runner.print("%s closed by the program", s.name)
+func (c *scriptedConn) Close() {
+	if !c.closed {
+		c.closed = true
+		c.runner.print("%s closed by the program", c.name)
 	}
 }
 
-func (s *scriptedConn) Pending() int { return 0 }
+func (c *scriptedConn) Pending() int { return 0 }
 
-func (s *scriptedConn) Idle() bool { return !s.hasUnread }
+func (c *scriptedConn) Idle() bool { return !c.hasUnread }
 
-func (s *scriptedConn) CloseWrite() {
-	if !s.closed {
-		s.runner.print("%s ended on the program's side", s.name)
+func (c *scriptedConn) CloseWrite() {
+	if !c.closed {
+		c.runner.print("%s ended on the program's side", c.name)
 	}
 }
 
-func (s *scriptedConn) Abort() {
-	if !s.closed {
-		s.closed = true
-		s.runner.print("%s aborted by the program", s.name)
+func (c *scriptedConn) Abort() {
+	if !c.closed {
+		c.closed = true
+		c.runner.print("%s aborted by the program", c.name)
 	}
 }
 
@@ -131,7 +131,7 @@
 	r.output = append(r.output, "  "+fmt.Sprintf(format, args...))
 }
 
-// Dial records a connection that the program opens. The script's "up" or "end" decides its fate.
+// Dial records a connection that the program opens. A line "up" or "end" of the script establishes it or lets it fail.
 func (r *scriptRunner) Dial(addr string, h transport.Handler) {
 	conn := &scriptedConn{runner: r, name: fmt.Sprintf("w%d", len(r.engineConns)+1), handler: h}
 	r.engineConns = append(r.engineConns, conn)
@@ -153,7 +153,7 @@
 	}
 }
 
-// advanceTo advances the time to target and runs turns at each deadline on the way.
+// advanceTo advances the time to target and runs turns at each deadline up to then.
 func (r *scriptRunner) advanceTo(target float64) {
 	for {
 		at, ok := r.deadlines.Next()
@@ -174,6 +174,7 @@
 // startTime is the time in ms at which tests begin. Scripts give times relative to it.
 const startTime = 1.7e12
 
+// unquote returns the value of a quoted Go string.
 func unquote(t *testing.T, s string) string {
 	v, err := strconv.Unquote(s)
 	if err != nil {
@@ -271,7 +272,7 @@
 		send([]byte(unquote(r.t, args)))
 	case "cancel":
 		send(append(binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint32(nil, 16), 80877102), r.cancelKeys[args]...))
-	case "unread":
+	case "unread": // bytes have arrived that the program has not read yet
 		conn.hasUnread = true
 	case "up":
 		conn.handler.Opened(conn)
--- a/internal/node/mixed_protocols_test.go
+++ b/internal/node/mixed_protocols_test.go
@@ -17,7 +17,7 @@
 	"thymeway/internal/transport"
 )
 
-// simulation runs a coordinator in virtual time, with clients of both protocols and worker groups that need time for each query.
+// simulation runs a coordinator in virtual time, with clients of both protocols and worker groups whose queries take time.
 type simulation struct {
 	t             *testing.T
 	now           float64
@@ -26,10 +26,10 @@
 	wakeRequested bool
 	rand          *rand.Rand
 	events        []scheduledEvent
-	runsByID      map[string]*queryRun // by the id that is sent to worker groups
+	runsByID      map[string]*queryRun // latest runs, by the id that is sent to worker groups
 	runOrder      []*queryRun
 	violations    []string // of the rules checked by the worker groups
-	endTime       float64  // time of the end of the simulation; 0: it ends when no events are left
+	endTime       float64  // time at which the simulation ends; 0: it ends when no events are left
 }
 
 // scheduledEvent is a function to be called at a time.
@@ -99,20 +99,20 @@
 	closed  bool
 }
 
-func (g *workerGroupConn) Close()       { g.closed = true }
-func (g *workerGroupConn) Pending() int { return 0 }
-func (g *workerGroupConn) Idle() bool   { return !g.closed }
-func (g *workerGroupConn) CloseWrite()  {}
-func (g *workerGroupConn) Abort()       { g.Close() }
+func (c *workerGroupConn) Close()       { c.closed = true }
+func (c *workerGroupConn) Pending() int { return 0 }
+func (c *workerGroupConn) Idle() bool   { return !c.closed }
+func (c *workerGroupConn) CloseWrite()  {}
+func (c *workerGroupConn) Abort()       { c.Close() }
 
 // reply sends text after a delay in ms and calls onArrival when it arrives.
-func (g *workerGroupConn) reply(delay float64, text string, onArrival func()) {
-	g.sim.schedule(delay, func() {
+func (c *workerGroupConn) reply(delay float64, text string, onArrival func()) {
+	c.sim.schedule(delay, func() {
 		if onArrival != nil {
 			onArrival()
 		}
-		if !g.closed {
-			g.handler.Received([]byte(text))
+		if !c.closed {
+			c.handler.Received([]byte(text))
 		}
 	})
 }
@@ -120,11 +120,11 @@
 // hopIDPattern matches the header with the id of a query's request.
 var hopIDPattern = regexp.MustCompile(`X-Hop-Id: (\S+)`)
 
-// Write handles a call. Statements with an order key run for 250 ms, long enough to be polled. The first run of a statement
-// that contains "fails" fails; this depends on its text only, so that it happens over any protocol. No request may have two
-// attempts at once, and no two statements of an order key may run at once.
-func (g *workerGroupConn) Write(b []byte) {
-	sim := g.sim
+// Write handles a call. Statements with an order key run for 250 ms, long enough to be polled. The first run of a statement that
+// contains "fails" fails; as this depends on the text only, it happens over either protocol. Two simultaneous attempts of a
+// request, or simultaneous statements of an order key, are recorded as violations.
+func (c *workerGroupConn) Write(b []byte) {
+	sim := c.sim
 	head, body, _ := bytes.Cut(b, []byte("\r\n\r\n"))
 	line, _, _ := strings.Cut(string(head), "\r\n")
 	switch {
@@ -150,15 +150,15 @@
 		}
 		if strings.Contains(statement, "fails") && !slices.ContainsFunc(sim.runOrder[:len(sim.runOrder)-1],
 			func(other *queryRun) bool { return other.statement == statement }) {
-			g.reply(duration, "HTTP/1.1 500 -\r\nContent-Length: 0\r\n\r\n", func() { run.endedAt = sim.now })
+			c.reply(duration, "HTTP/1.1 500 -\r\nContent-Length: 0\r\n\r\n", func() { run.endedAt = sim.now })
 			return
 		}
 		rows := fmt.Sprintf("%d\tof\t%s\n", len(statement), strings.ReplaceAll(statement, " ", "_"))
-		g.reply(duration, fmt.Sprintf(
+		c.reply(duration, fmt.Sprintf(
 			"HTTP/1.1 200 OK\r\nPage-Count: 1\r\nWork-Ms: %v\r\nPeak-Mb: 8\r\nContent-Length: %d\r\n\r\n%s",
 			duration, len(rows), rows), func() { run.endedAt = sim.now })
 	default:
-		g.reply(1, "HTTP/1.1 204 -\r\n\r\n", nil)
+		c.reply(1, "HTTP/1.1 204 -\r\n\r\n", nil)
 	}
 }
 
@@ -328,9 +328,9 @@
 	return answers, runOrder, counts
 }
 
-// The same requests give the same answers, run order of each order key and counts, whether they are sent over PostgreSQL, over
-// HTTP or over both. The worker groups check that no request has two attempts at once and no two loads of an order key run at
-// once.
+// The same requests must lead to the same answers, counts and run order of each order key, whether they are sent over PostgreSQL,
+// over HTTP or over both. The worker groups check that no request has two attempts at once and no two loads of an order key run
+// at once.
 func TestProtocolsGiveEqualResults(t *testing.T) {
 	for seed := int64(1); seed <= 5; seed++ {
 		protocols := map[string]func(int) bool{"postgres": func(int) bool { return false },
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -28,26 +28,26 @@
 
 // Limits, times (in milliseconds) and shares of resources.
 const (
-	answerMargin          = 25.0     // an answer is due this long before the client's timeout, to allow for the round trip
-	connIdleShare         = 0.7      // of the time after which worker groups close idle connections
-	engineDescriptorShare = 0.4      // of the descriptors, for connections to worker groups; most others are for clients
-	reservedDescriptors   = 28       // for the program itself, the discovery service and short-lived connections
-	inputMemoryShare      = 0.1      // of the memory, for input from clients that is not processed yet
-	bodyMemoryShare       = 0.05     // of the memory, for bodies of ClickHouse clients; an open one is in memory three times
-	resultMemoryShare     = 0.15     // of the memory, for results being received from ClickHouse engines
-	minInputBytes         = 16 << 10 // lower bound of the size limit of a client's message
-	maxInputBytes         = 256 << 10
-	shutdownGrace         = 800.0    // after SIGTERM, during which new requests are still accepted
-	shutdownCheckInterval = 20.0     // between checks whether all requests are answered
-	killDelay             = 700.0    // SIGKILL may follow this long after the longest client timeout, or after maxKillTimeout
-	maxKillTimeout        = 3000.0   // used instead if the longest client timeout exceeds it
-	killMargin            = 350.0    // all requests are answered this long before SIGKILL may come
-	shapesPerTurn         = 128      // shapes written to the snapshot in one event-loop turn
-	clickHouseConnIdle    = 2500.0   // maximum idle time; ClickHouse engines close idle connections after 3 s or more
-	maxSnapshotBytes      = 64 << 20 // of the snapshot file
-	cancelGrace           = 200.0    // after the last answers, for worker groups to be told which attempts are cancelled
-	maxReloadTries        = 20       // attempts to read a configuration while reading fails for a temporary reason
-	reloadRetryDelay      = 100.0    // between these attempts
+	answerMargin          = 25.0      // an answer is due this long before the client's timeout, to allow for the round trip
+	connIdleShare         = 0.7       // idle connections are closed after this share of the time after which worker groups do so
+	engineDescriptorShare = 0.4       // of the descriptors, for connections to worker groups; most others are for clients
+	reservedDescriptors   = 28        // for the program itself, the discovery service and short-lived connections
+	inputMemoryShare      = 0.1       // of the memory, for input from clients that is not processed yet
+	bodyMemoryShare       = 0.05      // of the memory, for bodies of ClickHouse clients; an open one is in memory three times
+	resultMemoryShare     = 0.15      // of the memory, for results being received from ClickHouse engines
+	minInputBytes         = 16 << 10  // lower bound of the size limit of a client's message
+	maxInputBytes         = 256 << 10 // upper bound of that limit
+	shutdownGrace         = 800.0     // period after SIGTERM during which new requests are still accepted
+	shutdownCheckInterval = 20.0      // between checks whether all requests are answered
+	killDelay             = 700.0     // SIGKILL may follow SIGTERM after the longest client timeout plus this delay
+	maxKillTimeout        = 3000.0    // upper bound of the client timeout in that sum
+	killMargin            = 350.0     // all requests are answered this long before SIGKILL may come
+	shapesPerTurn         = 128       // shapes written to the snapshot in one event-loop turn
+	clickHouseConnIdle    = 2500.0    // maximum idle time; ClickHouse engines close idle connections after 3 s or more
+	maxSnapshotBytes      = 64 << 20  // of the snapshot file
+	cancelGrace           = 200.0     // period after the last answers for sending cancellations to the engines
+	maxReloadTries        = 20        // attempts to read a configuration while reading fails for a temporary reason
+	reloadRetryDelay      = 100.0     // between two attempts to read the configuration
 )
 
 // Node is a complete coordinator with its clients, engines and discovery service.
@@ -84,7 +84,9 @@
 		clickHouse = &chengine.Fleet{Dialer: dialer, Deadlines: deadlines, Now: now, Faults: faults,
 			ConnIdleTimeout: min(cfg.ConnIdleTimeout*connIdleShare, clickHouseConnIdle),
 			MaxConns:        workerGroups.MaxConns, MaxResultBytes: cfg.Local.ClickHouse.MaxResultBytes,
-			Credentials:      func(kind string) (string, string) { return cfg.Local.Kinds[kind].User, cfg.Local.Kinds[kind].Password },
+			Credentials: func(kind string) (string, string) {
+				return cfg.Local.Kinds[kind].User, cfg.Local.Kinds[kind].Password
+			},
 			MaxBufferedBytes: int(cfg.MemoryMB * (1 << 20) * resultMemoryShare)}
 		backend = &coordinator.Mux{Backends: []coordinator.Backend{workerGroups, clickHouse},
 			BackendIndex: func(listed coordinator.ListedEngine) int {
@@ -98,9 +100,9 @@
 	coord := coordinator.New(cfg.Scheduler, now, deadlines, backend, wake,
 		coordinator.StatementOptions{Shapes: shapes, Role: cfg.ClassRules().Role, FillEstimates: cfg.Local.Shapes.FillEstimates,
 			Faults: faults})
-	workerGroups.Watcher = coord
+	workerGroups.Listener = coord
 	if clickHouse != nil {
-		clickHouse.Watcher, engineConns = coord, 2*engineConns
+		clickHouse.Listener, engineConns = coord, 2*engineConns
 	}
 	maxClients := max(cfg.Sockets-engineConns-reservedDescriptors, 1)
 	clientSlots := &connlimit.Limiter{MaxConnections: maxClients, Faults: faults}
@@ -182,9 +184,9 @@
 	for _, tenant := range n.config.Scheduler.Tenants {
 		s.StormStates[tenant.Name] = n.Coordinator.StormState(tenant.Name)
 	}
-	for doubt := shape.NoReason + 1; doubt < shape.NumReasons; doubt++ {
-		if count := n.Coordinator.Unproven(doubt); count > 0 {
-			s.Unproven[doubt.String()] = count
+	for reason := shape.NoReason + 1; reason < shape.NumReasons; reason++ {
+		if count := n.Coordinator.Unproven(reason); count > 0 {
+			s.Unproven[reason.String()] = count
 		}
 	}
 	return s
@@ -206,8 +208,8 @@
 // service takes effect; other changes need a restart.
 func (n *Node) Reload(read func() (config.Config, error)) { n.reload(read, maxReloadTries) }
 
-// reload reads the configuration and tries again after a temporary failure, such as a lack of descriptors, because the request
-// to reload is made only once and the new address of the discovery service would be lost.
+// reload reads the configuration and tries again after a temporary failure, such as a lack of descriptors. The request to reload
+// is made only once, so without these retries a new address of the discovery service would be lost.
 func (n *Node) reload(read func() (config.Config, error), triesLeft int) {
 	cfg, err := read()
 	if err != nil && triesLeft > 1 && config.Transient(err) {
--- a/internal/node/order_key_test.go
+++ b/internal/node/order_key_test.go
@@ -16,46 +16,46 @@
 	"thymeway/internal/transport"
 )
 
-// faultyNetwork is a network with worker groups that become unreachable, reset connections, drain, crash, hang and fall silent
-// for good. It knows which queries run, and records violations of the rules for order keys and attempts.
+// faultyNetwork is a network with worker groups that reset connections, drain, crash, or become unreachable or unresponsive, some
+// of them for good. It knows which queries run, and records violations of the rules for order keys and attempts.
 type faultyNetwork struct {
 	*simulation
-	engines          []*engineStub
-	arrivalOrder     map[string]int          // by request id: its position in the order in which the coordinator accepted them
-	orderKeys        map[string]string       // by request id
-	latestSent       map[string]int          // by order key: position of the latest request of which an attempt was sent
-	lastCancelled    map[string]cancellation // by order key
-	keepsUndelivered bool                    // a query counts as polled while an answer about it is in transit
-	faultRate        float64                 // probability of a reset during a call, a malformed answer or a duplicate answer
+	engines                 []*engineStub
+	arrivalOrder            map[string]int          // by request id: position in the order in which requests were accepted
+	orderKeys               map[string]string       // by request id
+	latestSent              map[string]int          // by order key: position of the latest request of which an attempt was sent
+	lastCancelled           map[string]cancellation // by order key
+	inTransitCountsAsPolled bool                    // a query counts as polled while an answer about it is in transit
+	faultRate               float64                 // probability of each of: reset during a call, malformed answer, duplicate
 }
 
-// cancellation is the latest cancellation of an attempt of any request with an order key.
+// cancellation describes the latest cancellation of an attempt of any request with a given order key.
 type cancellation struct {
-	at           float64
-	arrivalOrder int // of the request
+	at           float64 // time in ms
+	arrivalOrder int     // of the request
 }
 
 // engineStub is a simulated worker group.
 type engineStub struct {
-	network           *faultyNetwork
-	id, addr          string
-	cutFrom, cutUntil float64 // period during which it is unreachable
-	hungUntil         float64 // time until which its process is stopped, so that no query ends or is dropped
-	draining          bool
-	down              bool
-	conns             []*connStub
-	queries           map[string]*runStub
-	leftNotices       map[string]int    // of ended queries: progress notices that are sent before the end
-	endAnswers        map[string]string // answers to polls for ended queries, by id
+	network                           *faultyNetwork
+	id, addr                          string
+	unreachableFrom, unreachableUntil float64 // period during which it is unreachable
+	suspendedUntil                    float64 // time until which its process is stopped, so that no query ends or is dropped
+	draining                          bool    // refuses new connections, but completes its queries
+	down                              bool    // its process has died: it refuses connections and ignores calls
+	conns                             []*connStub
+	queries                           map[string]*runStub
+	unsentNotices                     map[string]int    // of ended queries: progress notices that are sent before the end
+	finalAnswers                      map[string]string // answers to polls for ended queries, by id
 }
 
 // runStub is a query that runs, or whose second page has not been fetched yet.
 type runStub struct {
-	lastPolled  float64
-	ended       bool
-	notices     int                   // progress notices not sent yet
-	heldPolls   []func(answer string) // polls that are not answered yet
-	undelivered int                   // answers in transit
+	lastPolled       float64
+	ended            bool                  // it has run, and only its second page is left to be fetched
+	notices          int                   // progress notices not sent yet
+	heldPolls        []func(answer string) // polls that are not answered yet
+	answersInTransit int                   // answers about this query
 }
 
 // connStub is a connection to an engineStub. Data of each direction is delivered in order, and while the worker group is
@@ -76,8 +76,8 @@
 func (c *connStub) deliveryDelay(last *float64) float64 {
 	network := c.engine.network
 	arrival := network.now + 1 + network.rand.Float64()
-	if arrival >= c.engine.cutFrom && arrival < c.engine.cutUntil {
-		arrival = c.engine.cutUntil + 40*network.rand.Float64()
+	if arrival >= c.engine.unreachableFrom && arrival < c.engine.unreachableUntil {
+		arrival = c.engine.unreachableUntil + 40*network.rand.Float64()
 	}
 	*last = max(*last, arrival)
 	return *last - network.now
@@ -90,7 +90,7 @@
 			continue
 		}
 		switch {
-		case n.now >= e.cutFrom && n.now < e.cutUntil:
+		case n.now >= e.unreachableFrom && n.now < e.unreachableUntil:
 			n.schedule(250, func() { h.Closed(transport.Unreachable) })
 		case e.draining || e.down:
 			n.schedule(1, func() { h.Closed(transport.ConnRefused) })
@@ -230,8 +230,8 @@
 	case "POST":
 		id = hopIDPattern.FindStringSubmatch(call)[1]
 		if network.rand.Intn(20) == 0 {
-			e.endAnswers[id] = "HTTP/1.1 503 -\r\nX-No-Effect: 1\r\nContent-Length: 0\r\n\r\n"
-			e.sendAnswer(c, e.endAnswers[id], nil)
+			e.finalAnswers[id] = "HTTP/1.1 503 -\r\nX-No-Effect: 1\r\nContent-Length: 0\r\n\r\n"
+			e.sendAnswer(c, e.finalAnswers[id], nil)
 			break
 		}
 		e.startQuery(id)
@@ -269,8 +269,8 @@
 	}
 	query := &runStub{lastPolled: network.now}
 	e.queries[id] = query
-	delete(e.endAnswers, id)
-	delete(e.leftNotices, id)
+	delete(e.finalAnswers, id)
+	delete(e.unsentNotices, id)
 	var addNotice func()
 	addNotice = func() {
 		if e.queries[id] == query && !query.ended {
@@ -288,7 +288,7 @@
 		case roll == 0:
 			e.endQuery(id, unknownQueryAnswer, false)
 		case roll < 4:
-			query.ended, e.endAnswers[id] = true, twoPages
+			query.ended, e.finalAnswers[id] = true, twoPages
 			for _, reply := range query.heldPolls {
 				reply(twoPages)
 			}
@@ -301,7 +301,7 @@
 		if e.queries[id] != query {
 			return
 		}
-		if remaining := query.lastPolled + 2000 - network.now; remaining > 0 || query.undelivered > 0 {
+		if remaining := query.lastPolled + 2000 - network.now; remaining > 0 || query.answersInTransit > 0 {
 			e.whenRunning(max(remaining, 100), dropIfUnpolled)
 			return
 		}
@@ -310,10 +310,10 @@
 	e.whenRunning(2000, dropIfUnpolled)
 }
 
-// whenRunning calls do after a delay in ms or, if the process hangs at that time, once it resumes.
+// whenRunning calls do after a delay in ms or, if the process is stopped at that time, once it resumes.
 func (e *engineStub) whenRunning(delay float64, do func()) {
 	e.network.schedule(delay, func() {
-		if remaining := e.hungUntil - e.network.now; remaining > 0 {
+		if remaining := e.suspendedUntil - e.network.now; remaining > 0 {
 			e.whenRunning(remaining+e.network.rand.Float64(), do)
 			return
 		}
@@ -328,9 +328,9 @@
 		return
 	}
 	delete(e.queries, id)
-	e.endAnswers[id] = answer
+	e.finalAnswers[id] = answer
 	if cancelled {
-		e.leftNotices[id] = query.notices
+		e.unsentNotices[id] = query.notices
 	}
 	if key := e.network.orderKeys[id]; cancelled && key != "" {
 		e.network.lastCancelled[key] = cancellation{e.network.now, e.network.arrivalOrder[id]}
@@ -348,19 +348,19 @@
 		return
 	}
 	query.lastPolled = e.network.now
-	e.endQuery(id, e.endAnswers[id], false)
+	e.endQuery(id, e.finalAnswers[id], false)
 	e.sendAnswer(c, "HTTP/1.1 200 OK\r\nPage-No: 1\r\nContent-Length: 6\r\n\r\nd\te\tf\n", nil)
 }
 
 // answerPoll answers a poll: with a progress notice, with the end of the query, or after 250 ms with status 202, as it runs on.
 func (e *engineStub) answerPoll(c *connStub, id string) {
 	network, query := e.network, e.queries[id]
-	if query != nil && query.notices > 0 || e.leftNotices[id] > 0 {
+	if query != nil && query.notices > 0 || e.unsentNotices[id] > 0 {
 		if query != nil {
 			query.lastPolled = network.now
 			query.notices--
 		} else {
-			e.leftNotices[id]--
+			e.unsentNotices[id]--
 		}
 		e.sendAnswer(c, "HTTP/1.1 202 -\r\nX-Tell: advance\r\nFigure: 0.5\r\nContent-Length: 0\r\n\r\n", nil)
 		return
@@ -369,7 +369,7 @@
 		query.lastPolled = network.now
 	}
 	if query == nil || query.ended {
-		answer := e.endAnswers[id]
+		answer := e.finalAnswers[id]
 		if answer == "" {
 			answer = unknownQueryAnswer
 		}
@@ -381,12 +381,12 @@
 	reply := func(text string) {
 		if !answered && !c.engineClosed {
 			answered = true
-			if network.keepsUndelivered {
-				query.undelivered++
+			if network.inTransitCountsAsPolled {
+				query.answersInTransit++
 			}
 			e.sendAnswer(c, text, func() {
-				if network.keepsUndelivered {
-					query.undelivered--
+				if network.inTransitCountsAsPolled {
+					query.answersInTransit--
 					query.lastPolled = network.now
 				}
 			})
@@ -401,8 +401,8 @@
 	network := e.network
 	switch network.rand.Intn(6) {
 	case 0, 1: // unreachable, for shorter or longer than any timeout of the coordinator
-		if network.now >= e.cutUntil {
-			e.cutFrom, e.cutUntil = network.now, network.now+200+network.rand.Float64()*12000
+		if network.now >= e.unreachableUntil {
+			e.unreachableFrom, e.unreachableUntil = network.now, network.now+200+network.rand.Float64()*12000
 		}
 	case 2: // drains; it is announced late, and the same process becomes healthy again
 		e.draining = true
@@ -415,10 +415,10 @@
 		for _, id := range slices.Sorted(maps.Keys(e.queries)) {
 			e.endQuery(id, unknownQueryAnswer, true)
 		}
-		e.endAnswers, e.leftNotices, e.down = map[string]string{}, map[string]int{}, true
+		e.finalAnswers, e.unsentNotices, e.down = map[string]string{}, map[string]int{}, true
 		network.schedule(100+network.rand.Float64()*2000, func() { e.down = false })
-	case 5: // hangs: it is unreachable, and its queries neither end nor are dropped
-		if network.now < e.cutUntil {
+	case 5: // its process is stopped: it is unreachable, and its queries neither end nor are dropped
+		if network.now < e.unreachableUntil {
 			break
 		}
 		if network.rand.Intn(2) == 0 { // its connections are reset at the start
@@ -426,8 +426,8 @@
 				c.closeByEngine(transport.ConnReset)
 			}
 		}
-		e.cutFrom, e.cutUntil = network.now, network.now+200+network.rand.Float64()*12000
-		e.hungUntil = e.cutUntil
+		e.unreachableFrom, e.unreachableUntil = network.now, network.now+200+network.rand.Float64()*12000
+		e.suspendedUntil = e.unreachableUntil
 	case 4: // all its connections are reset, while its queries run on
 		for _, c := range slices.Clone(e.conns) {
 			c.closeByEngine(transport.ConnReset)
@@ -449,7 +449,7 @@
 	sim := &simulation{t: t, now: startTime, deadlines: deadline.New(), rand: rand.New(rand.NewSource(seed))}
 	network = &faultyNetwork{simulation: sim, arrivalOrder: map[string]int{}, orderKeys: map[string]string{},
 		latestSent: map[string]int{}, lastCancelled: map[string]cancellation{}}
-	network.keepsUndelivered, network.faultRate = sim.rand.Intn(2) == 0, 0.06*sim.rand.Float64()
+	network.inTransitCountsAsPolled, network.faultRate = sim.rand.Intn(2) == 0, 0.06*sim.rand.Float64()
 	var err error
 	if sim.node, err = New(c, network, sim.deadlines, func() float64 { return sim.now },
 		func() { sim.wakeRequested = true }); err != nil {
@@ -457,7 +457,7 @@
 	}
 	for i := range 4 {
 		e := &engineStub{network: network, id: fmt.Sprintf("s-toy%d", i+1), addr: fmt.Sprintf("127.0.0.1:%d", 4101+i),
-			queries: map[string]*runStub{}, endAnswers: map[string]string{}, leftNotices: map[string]int{}}
+			queries: map[string]*runStub{}, finalAnswers: map[string]string{}, unsentNotices: map[string]int{}}
 		network.engines = append(network.engines, e)
 		sim.schedule(0, func() { e.announce(choice.Healthy) })
 		for at := 500.0; at < 30000; at += 500 + sim.rand.Float64()*8000 {
@@ -467,8 +467,8 @@
 		}
 	}
 	silentEngine := network.engines[3]
-	// Falls silent for good; the queries running there end at some later time.
-	sim.schedule(25000, func() { silentEngine.cutFrom, silentEngine.cutUntil = sim.now, sim.now+1e9 })
+	// One worker group becomes unreachable for good; the queries running there end later.
+	sim.schedule(25000, func() { silentEngine.unreachableFrom, silentEngine.unreachableUntil = sim.now, sim.now+1e9 })
 	sim.schedule(85000, func() {
 		silentEngine.down = true
 		for _, id := range slices.Sorted(maps.Keys(silentEngine.queries)) {
@@ -523,9 +523,9 @@
 	return network, lateness, served
 }
 
-// With any faults of the network and the worker groups, requests of an order key run in order and one at a time, each request has
-// one attempt at a time, the order key settles after a cancelled attempt, and clients are answered in time. Guards against
-// attempts that are taken for ended while they may still run, and against order keys that stay blocked.
+// Guards against attempts that count as ended while they may still run, and against order keys that stay blocked. Whatever the
+// faults of the network and the worker groups, requests of an order key must run in order and one at a time, each request must
+// have one attempt at a time, the order key must pause after a cancelled attempt, and clients must be answered in time.
 func TestOrderKeysUnderFaults(t *testing.T) {
 	total := 0
 	for seed := int64(1); seed <= 40; seed++ {
@@ -551,7 +551,7 @@
 				network.node.Coordinator.Unanswered(), network.node.inFlight())
 		}
 	}
-	if total < 2000 { // of 6,000; a coordinator that lets all requests wait would break no other rule
+	if total < 2000 { // of 6,000; a coordinator that never sends a request would violate no other rule
 		t.Errorf("only %d requests were served", total)
 	}
 }
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -10,8 +10,8 @@
 	"thymeway/internal/deadline"
 )
 
-// Reload reads the configuration again after a temporary error. Otherwise a new address of the discovery service would be
-// missed, because the request to reload is made only once.
+// Guards against missing a new address of the discovery service because of a temporary error: the request to reload is made only
+// once, so Reload has to read the configuration again.
 func TestReloadIsRepeatedAfterTransientError(t *testing.T) {
 	for _, fault := range []error{syscall.EMFILE, syscall.ENFILE, syscall.EIO} {
 		c := configtest.Example(t)
--- a/internal/pg/message.go
+++ b/internal/pg/message.go
@@ -18,14 +18,14 @@
 	gssRequestCode    = 80877104
 )
 
-const maxStartupBytes = 10000 // most bytes of a start-up message
+const maxStartupBytes = 10000 // maximum size of a start-up message
 
 var errMessageTooLarge = errors.New("message over the size that is read")
 
 // message is a message from a client. kind is its type byte, or 0 for a message before the start of a session.
 type message struct {
 	kind byte
-	code uint32 // of a message before the start of a session
+	code uint32 // protocol version or request code of a message before the start of a session
 	body []byte
 }
 
@@ -61,7 +61,7 @@
 // messageWriter encodes messages to a client.
 type messageWriter struct {
 	buf          []byte
-	lengthOffset int // in buf, of the length of the message that is being written
+	lengthOffset int // offset in buf of the length field of the message that is being written
 }
 
 // begin starts a message of the given type; end must follow.
@@ -78,8 +78,10 @@
 // cString appends a zero-terminated string.
 func (w *messageWriter) cString(s string) { w.buf = append(append(w.buf, s...), 0) }
 
+// int16 appends a 16-bit integer in network byte order.
 func (w *messageWriter) int16(v int) { w.buf = binary.BigEndian.AppendUint16(w.buf, uint16(v)) }
 
+// int32 appends a 32-bit integer in network byte order.
 func (w *messageWriter) int32(v uint32) { w.buf = binary.BigEndian.AppendUint32(w.buf, v) }
 
 // readyForQuery writes a ReadyForQuery message for a session outside a transaction block.
--- a/internal/pg/session.go
+++ b/internal/pg/session.go
@@ -17,7 +17,7 @@
 	"thymeway/internal/transport"
 )
 
-// SQLSTATE codes. Class 53 and 57P03 tell the client that a retry is harmless, so they are sent only where
+// SQLSTATE codes sent to clients. Class 53 and 57P03 tell the client that a retry is harmless, so they are sent only where
 // that is certain.
 const (
 	codeRefused      = "53000" // insufficient_resources
@@ -33,9 +33,9 @@
 
 // Limits that keep one session from taking resources from the others. Times are in ms.
 const (
-	messageTimeout     = 2300.0  // from connecting to the first complete message; for each later one from its first byte
+	messageTimeout     = 2300.0  // to receive a message: the first from connecting on, each later one from its first byte on
 	maxUndelayedFaults = 4       // invalid queries in a row that are answered without delay
-	faultDelay         = 50.0    // delay after each further one: immediate repeats would occupy the event loop
+	faultDelay         = 50.0    // after each further invalid query; immediate repeats would occupy the event loop
 	maxFaults          = 64      // invalid queries in a row after which the session is closed
 	maxMessagesPerTurn = 32      // messages of a session handled in one event-loop turn
 	maxUnreadBytes     = 1 << 20 // bytes of answers that a client may leave unread
@@ -43,25 +43,25 @@
 )
 
 // Coordinator processes requests. Check validates a request and returns the error for the client. Take accepts a request; the
-// answer follows by a call of its Client. Drop withdraws an accepted request, which then gets no answer.
+// answer is one call to a method of its Client. Drop withdraws an accepted request, which then gets no answer.
 type Coordinator interface {
 	Check(r *coordinator.Request) error
 	Take(r *coordinator.Request)
 	Drop(r *coordinator.Request)
 }
 
-// Server holds all PostgreSQL sessions and what they share.
+// Server serves PostgreSQL clients. It holds all sessions and the state and settings that they share.
 type Server struct {
 	Coordinator   Coordinator
 	Deadlines     *deadline.Queue
 	Faults        *faultlog.FaultLog
-	Now           func() float64
-	AnswerMargin  float64 // ms before the client's time limit by which the answer is due, for its way to the client
+	Now           func() float64 // ms, on the clock of Deadlines
+	AnswerMargin  float64        // ms by which the answer is due before the client's time limit, to allow for its transfer
 	ConnLimiter   *connlimit.Limiter
 	MaxInputBytes int // largest size of a message, and of the messages that wait for the end of an open query
 	Random        *rand.Rand
 	ShuttingDown  bool                // new queries are rejected
-	sessions      map[uint32]*Session // started ones, by process id
+	sessions      map[uint32]*Session // started sessions, by process id
 }
 
 // Pending returns the number of bytes to all clients that the system has not accepted yet.
@@ -82,7 +82,7 @@
 	processing   bool   // processInput is running
 	skipToSync   bool   // an extended query was rejected: messages are ignored up to its Sync
 	overLimit    bool   // the limit of connections is exceeded: queries are rejected
-	paused       bool   // until resumeTimer is due
+	paused       bool   // messages are not handled until resumeTimer is due
 	faultsInRow  int    // invalid queries since the last valid one
 	pid          uint32 // process id and secret key of the session, for CancelRequest
 	secret       uint32
@@ -119,7 +119,7 @@
 	s.slot.MarkUnused()
 }
 
-// InputEmpty implements connlimit.Connection.
+// InputEmpty implements connlimit.Connection: it reports whether the connection is open and has no unread input.
 func (s *Session) InputEmpty() bool { return s.conn.Idle() }
 
 // Evict implements connlimit.Connection: it closes the session in favor of a new connection.
@@ -137,7 +137,8 @@
 
 // processInput handles the complete messages of the input. While a query is open, the messages behind it wait for its answer.
 func (s *Session) processInput() {
-	// Danger: a query that is answered at once calls processInput again, which would handle the same message twice.
+	// A query that is answered at once calls processInput again. Without this check, that call would handle the same message a
+	// second time.
 	if s.processing || s.closed {
 		return
 	}
@@ -145,7 +146,7 @@
 	defer func() { s.processing = false }()
 	srv, consumed, complete := s.server, 0, true
 	for handled := 0; s.request == nil && !s.closed && !s.paused; handled++ {
-		if handled == maxMessagesPerTurn { // danger: during a flood of messages, other sessions would wait for this turn to end
+		if handled == maxMessagesPerTurn { // without this pause, a flood of messages would make all other sessions wait
 			s.pause(0)
 			break
 		}
@@ -174,7 +175,7 @@
 	}
 	s.input = append(s.input[:0], s.input[consumed:]...)
 	switch {
-	case len(s.input) > srv.MaxInputBytes+5: // danger: a client that keeps sending behind an open query would exhaust the memory
+	case len(s.input) > srv.MaxInputBytes+5: // a client that keeps sending behind an open query would exhaust the memory
 		s.failSession("client-garbled", codeTooLarge, fmt.Sprintf("over %d bytes behind an open query", srv.MaxInputBytes))
 		return
 	case s.conn.Pending() > maxUnreadBytes:
@@ -190,14 +191,14 @@
 	}
 }
 
-// pause stops handling messages for a period in ms; 0: until the next turn.
+// pause stops handling messages for a period in ms. A period of 0 lasts until the next turn.
 func (s *Session) pause(period float64) {
 	s.paused = true
 	s.server.Deadlines.Set(&s.resumeTimer, s.server.Now()+period)
 }
 
-// rejectQuery answers an invalid query with an error. It delays the messages of a client that sends many in a row, and
-// finally closes the session.
+// rejectQuery answers an invalid query with an error. If a client sends many invalid queries in a row, it delays the messages
+// behind them and finally closes the session.
 func (s *Session) rejectQuery(code, text string) {
 	s.server.Faults.Add("client-fault", "code", code, "error", text)
 	if s.faultsInRow++; s.faultsInRow > maxFaults {
@@ -277,7 +278,7 @@
 			w.readyForQuery()
 		}
 		s.conn.Write(w.buf)
-	case 'd', 'c', 'f': // the rest of a COPY, ignored as in PostgreSQL
+	case 'd', 'c', 'f': // CopyData, CopyDone and CopyFail are ignored outside a COPY, as in PostgreSQL
 	default:
 		s.failSession("client-garbled", codeProtocol, fmt.Sprintf("unknown message %q", m.kind))
 	}
@@ -315,7 +316,7 @@
 	s.server.Coordinator.Take(r)
 }
 
-// clearRequest marks the open request as answered.
+// clearRequest removes the open request from the session, which has been answered or withdrawn.
 func (s *Session) clearRequest() { s.request = nil }
 
 // sendError sends an error and, if its severity lets the session continue, ReadyForQuery.
@@ -372,8 +373,8 @@
 	s.cleanUp()
 }
 
-// Closed implements transport.Handler. As in PostgreSQL, a client that closes its sending side counts as gone, since a
-// half-closed connection cannot be told from a closed one.
+// Closed implements transport.Handler. As in PostgreSQL, a client that closes its sending side counts as disconnected, because
+// a half-closed connection cannot be distinguished from a closed one.
 func (s *Session) Closed(transport.EndReason) {
 	if !s.closed {
 		s.cleanUp()
--- a/internal/pg/session_test.go
+++ b/internal/pg/session_test.go
@@ -13,12 +13,12 @@
 // connStub counts the answers to empty queries (EmptyQueryResponse) that a session writes.
 type connStub struct{ answers int }
 
-func (s *connStub) Write(b []byte) { s.answers += bytes.Count(b, []byte("I\x00\x00\x00\x04")) }
-func (s *connStub) Close()         {}
-func (s *connStub) Pending() int   { return 0 }
-func (s *connStub) Idle() bool     { return true }
-func (s *connStub) CloseWrite()    {}
-func (s *connStub) Abort()         { s.Close() }
+func (c *connStub) Write(b []byte) { c.answers += bytes.Count(b, []byte("I\x00\x00\x00\x04")) }
+func (c *connStub) Close()         {}
+func (c *connStub) Pending() int   { return 0 }
+func (c *connStub) Idle() bool     { return true }
+func (c *connStub) CloseWrite()    {}
+func (c *connStub) Abort()         { c.Close() }
 
 // Guards against a client that occupies the event loop: a flood of valid messages must be handled over several turns, between
 // which other clients are served.
--- a/internal/queryfields/queryfields.go
+++ b/internal/queryfields/queryfields.go
@@ -1,5 +1,5 @@
-// Package queryfields parses the comment before a statement that describes the request: its class, id, time limit, tenant, and
-// optional further fields.
+// Package queryfields parses the comment in front of a statement. Its fields describe the request: class, id, time limit, tenant,
+// and further optional ones.
 package queryfields
 
 import (
@@ -10,15 +10,16 @@
 	"thymeway/internal/coordinator"
 )
 
+// Upper bounds of the fields' values.
 const (
-	maxWordBytes = 128     // of a name or a key
-	maxTimeLimit = 3600000 // ms; largest time limit of a request
-	maxWork      = 1e9     // CPU ms; largest estimate
-	maxMem       = 1e8     // MB; largest estimate
+	maxWordBytes = 128     // bytes of a name or a key
+	maxTimeLimit = 3600000 // ms; time limit of a request
+	maxWork      = 1e9     // CPU ms; estimate of the work
+	maxMem       = 1e8     // MB; estimate of the memory
 )
 
-// Parse converts a query's text to a request. It does not set the deadline, but returns the client's time limit in ms. Errors
-// name the invalid field.
+// Parse converts a query's text to a request. It does not set the request's deadline, but returns the client's time limit in ms.
+// Errors name the invalid field.
 func Parse(text string) (r *coordinator.Request, timeLimit float64, err error) {
 	content, statement, ok := splitComment(text)
 	if !ok {
@@ -76,7 +77,7 @@
 	return r, timeLimit, nil
 }
 
-// HasFields reports whether a text starts with a comment of fields: one that begins with the field verb.
+// HasFields reports whether a text starts with a comment that holds fields, the first of which is verb.
 func HasFields(text string) bool {
 	content, _, ok := splitComment(text)
 	return ok && strings.HasPrefix(content, "verb=")
--- a/internal/result/result.go
+++ b/internal/result/result.go
@@ -21,7 +21,7 @@
 // Set is a complete result. Its rows are lines of text, with a tab between two cells.
 type Set struct {
 	Columns []Column // nil: the three text columns of worker groups
-	Pages   [][]byte // each holds complete rows
+	Pages   [][]byte // the rows; each page holds complete rows
 	Escaped bool     // cells are escaped as in TabSeparated, with \N for NULL; otherwise they are unescaped
 	Verb    string   // first word of the statement, in upper case
 }
@@ -141,17 +141,17 @@
 	return dst
 }
 
-// maxColumns is the largest number of columns of a result.
-const maxColumns = 1024
+const maxColumns = 1024 // of a result
 
 // ErrIncomplete is returned for a result that is truncated or malformed.
 var ErrIncomplete = errors.New("incomplete result")
 
-// Parse parses a complete text in the format TabSeparatedWithNamesAndTypes. Danger: a truncated result must not be taken for a
-// shorter one. So every line must end with a line feed and have as many cells as the first one, and the types must be there.
+// Parse parses a complete text in the format TabSeparatedWithNamesAndTypes. It returns an error unless the lines of names and
+// types are present, and every line ends with a line feed and has as many cells as the first one. Without these checks, a
+// truncated result would pass for a shorter one.
 func Parse(text []byte) (*Set, error) {
 	s := &Set{Escaped: true, Columns: []Column{}}
-	if len(text) == 0 { // of a statement without a result
+	if len(text) == 0 { // the statement has no result
 		return s, nil
 	}
 	names, rest, ok := bytes.Cut(text, []byte{'\n'})
--- a/internal/result/result_test.go
+++ b/internal/result/result_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// cells returns the text of all cells.
+// cells returns all cells row by row: their text in quotes, or NULL.
 func cells(t interface{ Fatal(...any) }, s *Set) (all []string) {
 	if err := s.EachRow(func(row []Cell) error {
 		for _, c := range row {
@@ -25,7 +25,7 @@
 	return all
 }
 
-// Any bytes in a cell must survive escaping and parsing, row by row.
+// Cells with any bytes have the same value after escaping and parsing, row by row.
 func TestCellsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		columns := rapid.IntRange(1, 5).Draw(t, "columns")
@@ -63,7 +63,7 @@
 	})
 }
 
-// Guards against truncated results that pass for shorter ones: a result that is cut anywhere but between two rows is rejected.
+// A result that is cut anywhere but between two rows is rejected. Otherwise a truncated result would pass for a shorter one.
 func TestIncompleteResultsRejected(t *testing.T) {
 	text := []byte("a\tb\nString\tUInt8\nx\t1\ny\t2\n")
 	ends := map[int]bool{0: true, bytes.Index(text, []byte("x")): true, bytes.Index(text, []byte("y")): true, len(text): true}
--- a/internal/retrystorm/detector.go
+++ b/internal/retrystorm/detector.go
@@ -14,9 +14,11 @@
 
 var stateNames = [...]string{"calm", "storm", "recovering"}
 
+// String returns the name of the state in logs and metrics.
 func (s State) String() string { return stateNames[s] }
 
-// Thresholds. All are ratios, so that they apply at any request rate. minSamples excludes ratios of too few requests.
+// Windows and thresholds. The thresholds are ratios, so that they apply at any request rate; minSamples excludes ratios of too
+// few requests.
 const (
 	shortWindow           = 1000.0  // ms of the decaying average for present rates
 	longWindow            = 30000.0 // ms of the decaying average for the baseline
@@ -34,10 +36,12 @@
 // decayingCount is a count that decays exponentially with time.
 type decayingCount struct{ value, updatedAt float64 }
 
+// add adds an amount at the time now; the count decays by a factor of e in each window.
 func (c *decayingCount) add(now, window, amount float64) {
 	c.value, c.updatedAt = c.get(now, window)+amount, now
 }
 
+// get returns the count as decayed until now.
 func (c *decayingCount) get(now, window float64) float64 {
 	return c.value * math.Exp((c.updatedAt-now)/window)
 }
@@ -99,7 +103,7 @@
 
 // BaselineGoodput returns the rate of successes per ms in state Calm.
 func (d *Detector) BaselineGoodput(now float64) float64 {
-	if d.state != Calm { // it does not decay while successes are not added
+	if d.state != Calm { // the baseline does not decay while no successes are added to it
 		return d.baseline.value / longWindow
 	}
 	return d.baseline.get(now, longWindow) / longWindow
--- a/internal/retrystorm/repeat_sketch.go
+++ b/internal/retrystorm/repeat_sketch.go
@@ -4,8 +4,8 @@
 package retrystorm
 
 // RepeatSketch recognizes unmarked repeats of refused requests: requests with the same key that arrive soon after a refusal.
-// It is a counting sketch of fixed size with two generations that alternate, so that old refusals are dropped together. It
-// may take a first try for a repeat; the tests state how often. It never misses a repeat within its window, unless another
+// It is a counting sketch of fixed size with two generations that alternate, so that old refusals are dropped together. A
+// first try may be mistaken for a repeat; the tests state how often. A repeat within the window is never missed, unless another
 // request has used up the count.
 type RepeatSketch struct {
 	window    float64 // ms covered by one generation
--- a/internal/retrystorm/retrystorm_test.go
+++ b/internal/retrystorm/retrystorm_test.go
@@ -6,7 +6,7 @@
 )
 
 // Repeats within the window must always be recognized, as often as clients repeat a request. A further request with the
-// same key is none, and refusals are forgotten after two windows.
+// same key is not a repeat, and refusals are dropped after two windows.
 func TestRepeatsAreRecognized(t *testing.T) {
 	r := NewRepeatSketch(2000)
 	for i := range uint64(500) {
@@ -32,31 +32,31 @@
 	r.MatchArrival(42, 1)
 	r.MatchArrival(42, 1)
 	if r.MatchArrival(42, 1) {
-		t.Error("a third request is taken for a repeat of the same refusal")
+		t.Error("a third request counts as a repeat of the same refusal")
 	}
 }
 
-// Limits how many first tries are taken for repeats: 0.1% with 100 refusals in memory, 1% with 500, and 50% with 2,000.
+// Limits how many first tries are mistaken for repeats: 0.1% with 100 refusals in memory, 1% with 500, and 50% with 2,000.
 func TestFalseRepeats(t *testing.T) {
 	for _, c := range []struct {
 		refused  int
 		maxShare float64
 	}{{100, 0.001}, {500, 0.01}, {2000, 0.5}} {
-		r, rnd := NewRepeatSketch(2000), rand.New(rand.NewSource(3))
+		r, random := NewRepeatSketch(2000), rand.New(rand.NewSource(3))
 		for range c.refused {
-			r.AddRefusal(rnd.Uint64(), 0)
+			r.AddRefusal(random.Uint64(), 0)
 		}
 		falseMatches, n := 0, 20000
 		for range n {
 			g := r.current
-			if g.minCount(rnd.Uint64()) > 0 {
+			if g.minCount(random.Uint64()) > 0 {
 				falseMatches++
 			}
 		}
 		share := float64(falseMatches) / float64(n)
-		t.Logf("%d refusals: %.4f of first tries are taken for repeats", c.refused, share)
+		t.Logf("%d refusals: %.4f of first tries are mistaken for repeats", c.refused, share)
 		if share > c.maxShare {
-			t.Errorf("%d refusals: %.4f of first tries are taken for repeats", c.refused, share)
+			t.Errorf("%d refusals: %.4f of first tries are mistaken for repeats", c.refused, share)
 		}
 	}
 }
@@ -80,7 +80,7 @@
 	}
 }
 
-// The state must follow a storm from its start to its end, at any request rate. A burst of first tries is no storm.
+// The state must follow a storm from its start to its end, at any request rate. A burst of first tries is not a storm.
 func TestStates(t *testing.T) {
 	for _, perSecond := range []float64{30, 100, 3000} {
 		d, r := &Detector{}, rand.New(rand.NewSource(1))
@@ -103,7 +103,7 @@
 	}
 }
 
-// A few requests are no storm, whatever their shares, and the state does not flap at its thresholds.
+// A few requests are not a storm, whatever their shares, and the state does not flap at its thresholds.
 func TestFewRequestsAreNoStorm(t *testing.T) {
 	d, r := &Detector{}, rand.New(rand.NewSource(2))
 	now := playRequests(d, r, 0, 30000, 4, 1, 1)
--- a/internal/shape/bench_test.go
+++ b/internal/shape/bench_test.go
@@ -7,6 +7,7 @@
 
 const aggregateQuery = "SELECT day, count(*), max(note) FROM sales_17.orders WHERE tag = '3f9c' GROUP BY day"
 
+// BenchmarkHit measures the recognition of a statement whose shape is cached.
 func BenchmarkHit(b *testing.B) {
 	catalog := NewCatalog(Options{MaxBytes: 1 << 20, HashSeed: 7})
 	catalog.Recognise(aggregateQuery, Postgres, 0)
@@ -17,6 +18,7 @@
 	}
 }
 
+// BenchmarkMiss measures the recognition of statements whose shapes are seldom cached.
 func BenchmarkMiss(b *testing.B) {
 	catalog := NewCatalog(Options{MaxBytes: 1 << 20, HashSeed: 7})
 	texts := make([]string, 100000)
--- a/internal/shape/cache.go
+++ b/internal/shape/cache.go
@@ -9,17 +9,17 @@
 // moves to the main queue; otherwise it is evicted and its hash is kept as a ghost. Entries of the main queue that were used
 // again are reinserted instead of being evicted. A hit only increments a counter.
 //
-// Unlike in the paper, each owner has a partition with a small and a main queue of its own, and evictions come from the
+// Unlike in the paper, each owner has its own partition with a small and a main queue, and entries are evicted from the
 // partition that holds the most bytes. A tenant that floods the cache with new shapes thus evicts its own entries.
 
 const (
 	// MaxOwners is the number of owners that the cache tells apart.
 	MaxOwners         = 16
-	smallQueueDivisor = 10 // the small queue may hold 1/10 of a partition
-	maxFrequency      = 3
-	typicalEntryBytes = 512 // sizes the index and the ghost table
-	ghostWays         = 8
-	minCacheBytes     = 64 << 10
+	smallQueueDivisor = 10       // the small queue may hold 1/10 of a partition's bytes
+	maxFrequency      = 3        // largest value of Shape.frequency
+	typicalEntryBytes = 512      // assumed size of an entry, which determines the size of the index and of the ghost table
+	ghostWays         = 8        // hashes in a bucket of the ghost table
+	minCacheBytes     = 64 << 10 // smaller memory limits are raised to this
 )
 
 // Shape is the shape of a statement with its info and its learned cost.
@@ -33,9 +33,9 @@
 	nextInBucket         *Shape // next entry in the same bucket of the index
 	nextNewer            *Shape // next entry in the same queue
 	entryBytes           int32
-	partition, lastOwner uint8 // owner of the queue that holds it, and the owner that used it last
+	partition, lastOwner uint8 // owner of the queue that holds the shape, and the owner that used it last
 	frequency            uint8 // recent uses, up to maxFrequency
-	inMain, cached       bool
+	inMain, cached       bool  // the shape is in a main queue; it is in the cache
 }
 
 // queue is a FIFO queue, linked through nextNewer.
@@ -96,7 +96,7 @@
 
 func (p *partition) bytes() int { return p.small.bytes + p.main.bytes }
 
-// cache holds shapes in a limited number of bytes, which includes its own tables.
+// cache holds shapes in a limited number of bytes. The limit includes the index and the ghost table.
 type cache struct {
 	maxBytes, usedBytes int
 	count               int
@@ -120,8 +120,8 @@
 	return c
 }
 
-// find returns the entry of a canonical text, or nil. Danger: different texts may have the same hash. Without comparing the
-// texts, a write could be taken for a read.
+// find returns the entry of a canonical text, or nil. It compares the texts, because different texts may have the same hash, and
+// the entry of another text could make a write pass for a read.
 func (c *cache) find(hash uint64, canonical []byte, owner uint8) *Shape {
 	for s := c.index[hash&uint64(len(c.index)-1)]; s != nil; s = s.nextInBucket {
 		if s.hash == hash && bytes.Equal(s.canonical, canonical) {
@@ -135,7 +135,7 @@
 	return nil
 }
 
-// size returns the memory of an entry in bytes, apart from allocator overhead that can't be known here.
+// size returns the memory of an entry in bytes, without the overhead of the allocator, which is not known.
 func (s *Shape) size() int32 {
 	n := int(unsafe.Sizeof(*s)) + cap(s.canonical) + len(s.Verb) + len(s.TableGroup) + 32
 	for _, set := range [][]string{s.Reads, s.Writes} {
@@ -144,7 +144,7 @@
 	return int32(n)
 }
 
-// add inserts a shape. It may be evicted at once.
+// add inserts a shape, and evicts shapes until the cache is within its limit. The new shape may be evicted too.
 func (c *cache) add(s *Shape) {
 	s.entryBytes = s.size()
 	slot := &c.index[s.hash&uint64(len(c.index)-1)]
--- a/internal/shape/canonical.go
+++ b/internal/shape/canonical.go
@@ -26,7 +26,7 @@
 // maxBracketDepth limits nested brackets. It equals ClickHouse's max_parser_depth and is far beyond what statements need.
 const maxBracketDepth = 1000
 
-// LexError says why a text could not be split into tokens.
+// LexError is the reason why a text could not be split into tokens.
 type LexError uint8
 
 // The lexical errors.
@@ -78,6 +78,7 @@
 	classTrailingSign // operator characters that allow an operator to end with + or -
 )
 
+// byteClass holds the character classes of each byte.
 var byteClass [256]byte
 
 // lowerCase maps ASCII upper-case letters to lower case.
@@ -107,12 +108,12 @@
 
 // bracketFrame is the normalizer's state for one open bracket, or for the top level of a statement.
 type bracketFrame struct {
-	bracket       byte
-	listKind      uint8
-	elementStart  int // start of the current list element in the canonical text
-	previousStart int // start of the preceding element
-	previousSize  int // length of the preceding element, 0 if there is none
-	repeats       int // number of consecutive occurrences of the preceding element
+	bracket       byte  // the opening bracket; 0 at the top level
+	listKind      uint8 // noList, valueList or valuesRows
+	elementStart  int   // start of the current list element in the canonical text
+	previousStart int   // start of the preceding element
+	previousSize  int   // length of the preceding element; 0: there is none
+	repeats       int   // number of consecutive occurrences of the preceding element
 }
 
 // Kinds of lists whose repeated elements are collapsed.
@@ -127,7 +128,7 @@
 	buf    []byte // sized for the longest canonical text of the current statement
 	length int    // bytes of buf in use
 	frames []bracketFrame
-	// Positions of the last tokens in buf, -1 if there is none.
+	// Positions of the last three tokens in buf; -1: there is none.
 	lastToken, secondLastToken, thirdLastToken int
 	pendingSemicolon                           bool // a semicolon is written only if another token follows
 	atStatementStart                           bool // the next token starts a statement
@@ -139,19 +140,19 @@
 const maxKeptBufferBytes = 64 << 10
 
 // normalize returns the canonical form of a text. The result is valid until the next call.
-func (m *normalizer) normalize(text string, dialect Dialect) ([]byte, LexError) {
+func (nz *normalizer) normalize(text string, dialect Dialect) ([]byte, LexError) {
 	if len(text) > MaxStatementBytes {
 		return nil, TextTooLong
 	}
-	if need := 3*len(text) + 64; len(m.buf) < need { // a one-byte token may become two bytes and a space
-		m.buf = make([]byte, max(need, 4096))
-	} else if len(m.buf) > maxKeptBufferBytes && need < maxKeptBufferBytes {
-		m.buf = make([]byte, maxKeptBufferBytes)
+	if need := 3*len(text) + 64; len(nz.buf) < need { // a one-byte token may become two bytes and a space
+		nz.buf = make([]byte, max(need, 4096))
+	} else if len(nz.buf) > maxKeptBufferBytes && need < maxKeptBufferBytes {
+		nz.buf = make([]byte, maxKeptBufferBytes)
 	}
-	m.buf[0], m.length = dialectMark[dialect], 1
-	m.frames = append(m.frames[:0], bracketFrame{})
-	m.lastToken, m.secondLastToken, m.thirdLastToken = -1, -1, -1
-	m.pendingSemicolon, m.atStatementStart, m.inInsert, m.formatSeen = false, true, false, false
+	nz.buf[0], nz.length = dialectMark[dialect], 1
+	nz.frames = append(nz.frames[:0], bracketFrame{})
+	nz.lastToken, nz.secondLastToken, nz.thirdLastToken = -1, -1, -1
+	nz.pendingSemicolon, nz.atStatementStart, nz.inInsert, nz.formatSeen = false, true, false, false
 	if dialect == Postgres {
 		if !utf8.ValidString(text) {
 			return nil, InvalidCharacter
@@ -160,21 +161,21 @@
 			return nil, ControlCharacter
 		}
 	}
-	if lexErr := m.lex(text, dialect); lexErr != NoLexError {
+	if lexErr := nz.lex(text, dialect); lexErr != NoLexError {
 		return nil, lexErr
 	}
-	if len(m.frames) > 1 {
+	if len(nz.frames) > 1 {
 		return nil, UnbalancedBrackets
 	}
-	m.endElement()
-	if m.length == 1 {
+	nz.endElement()
+	if nz.length == 1 {
 		return nil, EmptyText
 	}
-	return m.buf[:m.length], NoLexError
+	return nz.buf[:nz.length], NoLexError
 }
 
 // lex splits a text into tokens and adds them to the canonical text.
-func (m *normalizer) lex(s string, dialect Dialect) LexError {
+func (nz *normalizer) lex(s string, dialect Dialect) LexError {
 	for i := 0; i < len(s); {
 		c := s[i]
 		classes := byteClass[c]
@@ -194,7 +195,7 @@
 					if n == 0 {
 						return UnterminatedString
 					}
-					m.addLiteral()
+					nz.addLiteral()
 					i = j + n
 					continue
 				case quote == '&' && c|0x20 == 'u' && dialect == Postgres && j+1 < len(s) && (s[j+1] == '\'' || s[j+1] == '"'):
@@ -203,9 +204,9 @@
 						return UnterminatedString
 					}
 					if s[j+1] == '\'' {
-						m.addLiteral()
+						nz.addLiteral()
 					} else { // Unicode escapes may spell any name
-						m.addToken(string([]byte{markHiddenName}))
+						nz.addToken(string([]byte{markHiddenName}))
 					}
 					i = j + 1 + n
 					continue
@@ -218,29 +219,29 @@
 				}
 				n++
 			}
-			if stop, body := m.addWord(s[i:n], dialect); stop {
+			if stop, body := nz.addWord(s[i:n], dialect); stop {
 				return NoLexError
 			} else if body {
-				m.addDoBody(s[n:])
+				nz.addDoBody(s[n:])
 				return NoLexError
 			}
 			i = n
 		case classes&classDigit != 0:
 			i += numberLength(s[i:])
-			m.addNumber()
+			nz.addNumber()
 		case c == '\'':
 			n := quotedLength(s[i:], dialect == ClickHouse)
 			if n == 0 {
 				return UnterminatedString
 			}
-			m.addLiteral()
+			nz.addLiteral()
 			i += n
 		case c == '"', c == '`' && dialect == ClickHouse:
 			n := quotedLength(s[i:], dialect == ClickHouse)
 			if n == 0 {
 				return UnterminatedString
 			}
-			m.addQuotedName(s[i:i+n], dialect == ClickHouse)
+			nz.addQuotedName(s[i:i+n], dialect == ClickHouse)
 			i += n
 		case c == '-' && i+1 < len(s) && s[i+1] == '-',
 			c == '#' && dialect == ClickHouse && i+1 < len(s) && (s[i+1] == ' ' || s[i+1] == '!'):
@@ -260,87 +261,87 @@
 			case n > 0 && !terminated:
 				return UnterminatedString
 			case n > 0:
-				m.addLiteral()
+				nz.addLiteral()
 				i += n
 			case i+1 < len(s) && byteClass[s[i+1]]&classDigit != 0:
 				for i++; i < len(s) && byteClass[s[i]]&classDigit != 0; i++ {
 				}
-				m.addLiteral()
+				nz.addLiteral()
 			default:
-				m.addToken("$")
+				nz.addToken("$")
 				i++
 			}
 		case c == '(' || c == '[' || c == '{':
 			if c == '{' && dialect == ClickHouse {
 				if n, name := parameterLength(s[i:]); n > 0 {
 					if name {
-						m.addToken(string([]byte{markHiddenName}))
+						nz.addToken(string([]byte{markHiddenName}))
 					} else {
-						m.addLiteral()
+						nz.addLiteral()
 					}
 					i += n
 					continue
 				}
 			}
-			if len(m.frames) > maxBracketDepth {
+			if len(nz.frames) > maxBracketDepth {
 				return BracketsTooDeep
 			}
-			m.openBracket(c)
+			nz.openBracket(c)
 			i++
 		case c == ')' || c == ']' || c == '}':
-			f := &m.frames[len(m.frames)-1]
-			if len(m.frames) == 1 || f.bracket != c-1 && f.bracket != c-2 {
+			f := &nz.frames[len(nz.frames)-1]
+			if len(nz.frames) == 1 || f.bracket != c-1 && f.bracket != c-2 {
 				return UnbalancedBrackets
 			}
-			m.endElement()
-			m.frames = m.frames[:len(m.frames)-1]
-			m.addByte(c)
+			nz.endElement()
+			nz.frames = nz.frames[:len(nz.frames)-1]
+			nz.addByte(c)
 			i++
 		case c == ',':
-			f := &m.frames[len(m.frames)-1]
+			f := &nz.frames[len(nz.frames)-1]
 			if f.listKind != noList {
-				m.endElement()
+				nz.endElement()
 			}
 			listKind := f.listKind
 			f.listKind = noList // keeps addByte from ending the VALUES rows at the comma
-			m.addByte(',')
-			f.listKind, f.elementStart = listKind, m.length
+			nz.addByte(',')
+			f.listKind, f.elementStart = listKind, nz.length
 			i++
 		case c == ';':
-			if len(m.frames) > 1 {
+			if len(nz.frames) > 1 {
 				return UnbalancedBrackets
 			}
-			m.endElement()
-			m.frames[0] = bracketFrame{}
-			m.pendingSemicolon = m.length > 1
-			m.atStatementStart, m.inInsert, m.formatSeen = true, false, false
+			nz.endElement()
+			nz.frames[0] = bracketFrame{}
+			nz.pendingSemicolon = nz.length > 1
+			nz.atStatementStart, nz.inInsert, nz.formatSeen = true, false, false
 			i++
 		case c == '.':
-			if i+1 < len(s) && byteClass[s[i+1]]&classDigit != 0 && !m.endsOperand(m.lastToken) {
+			if i+1 < len(s) && byteClass[s[i+1]]&classDigit != 0 && !nz.endsOperand(nz.lastToken) {
 				i += numberLength(s[i:])
-				m.addNumber()
+				nz.addNumber()
 				continue
 			}
-			m.addByte('.')
+			nz.addByte('.')
 			i++
 		case classes&classOperator != 0:
 			n := operatorLength(s[i:], dialect)
 			if n == 1 && c == '?' { // a parameter where a value may start, otherwise the PostgreSQL operator
-				if dialect == ClickHouse || !m.endsOperand(m.lastToken) {
-					m.addLiteral()
+				if dialect == ClickHouse || !nz.endsOperand(nz.lastToken) {
+					nz.addLiteral()
 				} else {
-					m.addToken("??")
+					nz.addToken("??")
 				}
 			} else if n == 1 {
-				m.addByte(c)
+				nz.addByte(c)
 			} else {
-				m.addToken(s[i : i+n])
+				nz.addToken(s[i : i+n])
 			}
 			i += n
 		case c < ' ' || c == 0x7f:
 			return ControlCharacter
 		default:
-			m.addByte(c)
+			nz.addByte(c)
 			i++
 		}
 	}
@@ -348,84 +349,86 @@
 }
 
 // beginToken writes the space before a token, and a pending semicolon before that.
-func (m *normalizer) beginToken() {
-	if m.pendingSemicolon {
-		m.pendingSemicolon = false
-		m.addToken(";")
-	}
-	m.atStatementStart = false
-	m.thirdLastToken, m.secondLastToken, m.lastToken = m.secondLastToken, m.lastToken, m.length
-	m.buf[m.length] = ' '
-	m.length++
+func (nz *normalizer) beginToken() {
+	if nz.pendingSemicolon {
+		nz.pendingSemicolon = false
+		nz.addToken(";")
+	}
+	nz.atStatementStart = false
+	nz.thirdLastToken, nz.secondLastToken, nz.lastToken = nz.secondLastToken, nz.lastToken, nz.length
+	nz.buf[nz.length] = ' '
+	nz.length++
 }
 
 // addToken adds a token unchanged.
-func (m *normalizer) addToken(s string) {
-	m.endRows(s[0])
-	m.beginToken()
-	m.length += copy(m.buf[m.length:], s)
+func (nz *normalizer) addToken(s string) {
+	nz.endRows(s[0])
+	nz.beginToken()
+	nz.length += copy(nz.buf[nz.length:], s)
 }
 
 // addByte adds a token of one byte.
-func (m *normalizer) addByte(c byte) {
-	m.endRows(c)
-	m.beginToken()
-	m.buf[m.length] = c
-	m.length++
+func (nz *normalizer) addByte(c byte) {
+	nz.endRows(c)
+	nz.beginToken()
+	nz.buf[nz.length] = c
+	nz.length++
 }
 
 // endRows ends the list of VALUES rows if the next token, which starts with c, does not continue it.
-func (m *normalizer) endRows(c byte) {
-	if f := &m.frames[len(m.frames)-1]; f.listKind == valuesRows && c != '(' && c != ')' {
-		m.endElement()
+func (nz *normalizer) endRows(c byte) {
+	if f := &nz.frames[len(nz.frames)-1]; f.listKind == valuesRows && c != '(' && c != ')' {
+		nz.endElement()
 		f.listKind = noList
 	}
 }
 
 // addWord adds a word. stop means that the rest of the text is the data of an INSERT, body that it is the body of a DO
 // statement.
-func (m *normalizer) addWord(word string, dialect Dialect) (stop, body bool) {
-	startsStatement := m.atStatementStart
-	m.endRows('a')
-	if f := &m.frames[len(m.frames)-1]; f.listKind == valueList && f.elementStart == m.length && f.previousSize == 0 &&
+func (nz *normalizer) addWord(word string, dialect Dialect) (stop, body bool) {
+	startsStatement := nz.atStatementStart
+	nz.endRows('a')
+	if f := &nz.frames[len(nz.frames)-1]; f.listKind == valueList && f.elementStart == nz.length && f.previousSize == 0 &&
 		len(word) >= 4 && startsQuery(word) {
 		f.listKind = noList // IN (SELECT ...
 	}
-	m.beginToken()
-	wordStart := m.length
+	nz.beginToken()
+	wordStart := nz.length
 	for i := 0; i < len(word); i++ {
-		m.buf[wordStart+i] = lowerCase[word[i]]
+		nz.buf[wordStart+i] = lowerCase[word[i]]
 	}
-	m.length += len(word)
-	lowered := m.buf[wordStart:m.length]
+	nz.length += len(word)
+	lowered := nz.buf[wordStart:nz.length]
 	if dialect == ClickHouse {
 		if string(lowered) != word && !isCaseInsensitive(lowered) { // names are case-sensitive in ClickHouse
 			copy(lowered, word)
 		}
-		if m.formatSeen {
+		if nz.formatSeen {
 			return true, false
 		}
-		m.formatSeen = m.inInsert && len(m.frames) == 1 && string(lowered) == "format"
+		nz.formatSeen = nz.inInsert && len(nz.frames) == 1 && string(lowered) == "format"
 	}
 	switch len(word) {
 	case 2:
 		return false, startsStatement && dialect == Postgres && string(lowered) == "do"
 	case 4, 5:
 		if string(lowered) == "true" || string(lowered) == "false" || string(lowered) == "null" {
-			if t := m.secondLastToken; !m.tokenIs(t, "is") && !m.tokenIs(t, "not") && !m.tokenIs(t, ".") &&
-				!m.tokenIs(t, "analyze") { // danger: as literals both give one shape, but only EXPLAIN (ANALYZE TRUE) runs
-				m.length = wordStart
-				m.buf[m.length] = markLiteral
-				m.length++
+			// After ANALYZE, true and false stay words: EXPLAIN (ANALYZE TRUE) runs the statement and EXPLAIN (ANALYZE FALSE)
+			// does not, so the two must not share a shape.
+			if t := nz.secondLastToken; !nz.tokenIs(t, "is") && !nz.tokenIs(t, "not") && !nz.tokenIs(t, ".") &&
+				!nz.tokenIs(t, "analyze") {
+				nz.length = wordStart
+				nz.buf[nz.length] = markLiteral
+				nz.length++
 			}
 		}
 	case 6:
 		switch string(lowered) {
 		case "insert":
-			m.inInsert = m.inInsert || startsStatement
+			nz.inInsert = nz.inInsert || startsStatement
 		case "values":
-			if f := &m.frames[len(m.frames)-1]; !m.tokenIs(m.secondLastToken, ".") {
-				f.listKind, f.elementStart, f.previousSize = valuesRows, m.length, 0
+			if f := &nz.frames[len(nz.frames)-1]; !nz.tokenIs(nz.secondLastToken, ".") {
+				f.listKind, f.elementStart, f.previousSize = valuesRows, nz.length, 0
 			}
 		}
 	}
@@ -438,21 +441,22 @@
 		strings.EqualFold(word, "table")
 }
 
-// addDoBody adds the rest of the text unchanged. Danger: the string after DO is executed. If it were dropped as a literal,
-// two statements with different effects would share one shape.
-func (m *normalizer) addDoBody(s string) {
-	m.addToken(string([]byte{markDoBody}))
-	m.length += copy(m.buf[m.length:], s)
-	m.pendingSemicolon = false
+// addDoBody adds the rest of the text unchanged. The string after DO is executed; if it were replaced like a literal, two
+// statements with different effects would share one shape.
+func (nz *normalizer) addDoBody(s string) {
+	nz.addToken(string([]byte{markDoBody}))
+	nz.length += copy(nz.buf[nz.length:], s)
+	nz.pendingSemicolon = false
 }
 
-// addQuotedName adds a quoted name in double quotes, whatever quotes it has in the text.
-func (m *normalizer) addQuotedName(s string, escapes bool) {
-	m.endRows('"')
-	m.beginToken()
+// addQuotedName adds a quoted name in double quotes, whatever quotes it has in the text. escapes states that a backslash
+// escapes the next character.
+func (nz *normalizer) addQuotedName(s string, escapes bool) {
+	nz.endRows('"')
+	nz.beginToken()
 	quote := s[0]
-	m.buf[m.length] = '"'
-	m.length++
+	nz.buf[nz.length] = '"'
+	nz.length++
 	for i := 1; i < len(s)-1; i++ {
 		c := s[i]
 		switch {
@@ -463,91 +467,91 @@
 			c = s[i]
 		}
 		if c == '"' {
-			m.buf[m.length] = '"'
-			m.length++
+			nz.buf[nz.length] = '"'
+			nz.length++
 		}
-		m.buf[m.length] = c
-		m.length++
+		nz.buf[nz.length] = c
+		nz.length++
 	}
-	m.buf[m.length] = '"'
-	m.length++
+	nz.buf[nz.length] = '"'
+	nz.length++
 }
 
 // addLiteral adds the placeholder of a literal.
-func (m *normalizer) addLiteral() {
-	m.addByte(markLiteral)
+func (nz *normalizer) addLiteral() {
+	nz.addByte(markLiteral)
 }
 
 // addNumber adds a number together with its sign, so that -5 and 5 give the same literal.
-func (m *normalizer) addNumber() {
-	if t := m.lastToken; t >= 0 && m.length == t+2 && (m.buf[t+1] == '-' || m.buf[t+1] == '+') &&
-		!m.endsOperand(m.secondLastToken) {
-		m.length, m.lastToken, m.secondLastToken, m.thirdLastToken = t, m.secondLastToken, m.thirdLastToken, -1
+func (nz *normalizer) addNumber() {
+	if t := nz.lastToken; t >= 0 && nz.length == t+2 && (nz.buf[t+1] == '-' || nz.buf[t+1] == '+') &&
+		!nz.endsOperand(nz.secondLastToken) {
+		nz.length, nz.lastToken, nz.secondLastToken, nz.thirdLastToken = t, nz.secondLastToken, nz.thirdLastToken, -1
 	}
-	m.addLiteral()
+	nz.addLiteral()
 }
 
 // tokenIs reports whether the token at a position of buf equals token.
-func (m *normalizer) tokenIs(pos int, token string) bool {
+func (nz *normalizer) tokenIs(pos int, token string) bool {
 	end := pos + 1 + len(token)
-	return pos >= 0 && end <= m.length && string(m.buf[pos+1:end]) == token && (end == m.length || m.buf[end] == ' ')
+	return pos >= 0 && end <= nz.length && string(nz.buf[pos+1:end]) == token && (end == nz.length || nz.buf[end] == ' ')
 }
 
 // endsOperand reports whether the token at a position of buf ends an operand, so that a following sign is an operator.
-func (m *normalizer) endsOperand(pos int) bool {
-	if pos < 0 || pos+1 >= m.length {
+func (nz *normalizer) endsOperand(pos int) bool {
+	if pos < 0 || pos+1 >= nz.length {
 		return false
 	}
-	switch c := m.buf[pos+1]; {
+	switch c := nz.buf[pos+1]; {
 	case c == markLiteral, c == '"', c == ')', c == ']', c == '}', c == markRepeat, c == markHiddenName:
 		return true
 	case byteClass[c]&classLetter != 0:
 		end := pos + 1
-		for end < m.length && m.buf[end] != ' ' {
+		for end < nz.length && nz.buf[end] != ' ' {
 			end++
 		}
-		return !wordsBeforeValue[string(m.buf[pos+1:end])]
+		return !wordsBeforeValue[string(nz.buf[pos+1:end])]
 	}
 	return false
 }
 
 // openBracket adds an opening bracket and pushes its frame.
-func (m *normalizer) openBracket(c byte) {
+func (nz *normalizer) openBracket(c byte) {
 	listKind := uint8(noList)
 	if c == '[' {
 		listKind = valueList
-	} else if c == '(' && m.lastToken >= 0 && m.length-m.lastToken == 3 &&
-		m.buf[m.lastToken+1] == 'i' && m.buf[m.lastToken+2] == 'n' {
+	} else if c == '(' && nz.lastToken >= 0 && nz.length-nz.lastToken == 3 &&
+		nz.buf[nz.lastToken+1] == 'i' && nz.buf[nz.lastToken+2] == 'n' {
 		listKind = valueList
 	}
-	if f := &m.frames[len(m.frames)-1]; f.listKind == valuesRows && f.elementStart < m.length {
-		m.endElement() // ClickHouse allows rows without a comma between them
+	if f := &nz.frames[len(nz.frames)-1]; f.listKind == valuesRows && f.elementStart < nz.length {
+		nz.endElement() // ClickHouse allows rows without a comma between them
 	}
-	m.endRows(c)
-	m.beginToken()
-	m.buf[m.length] = c
-	m.length++
-	m.frames = append(m.frames, bracketFrame{bracket: c, listKind: listKind, elementStart: m.length})
+	nz.endRows(c)
+	nz.beginToken()
+	nz.buf[nz.length] = c
+	nz.length++
+	nz.frames = append(nz.frames, bracketFrame{bracket: c, listKind: listKind, elementStart: nz.length})
 }
 
 // endElement ends an element of a list. An element equal to the preceding one is removed and counted as a repetition.
-func (m *normalizer) endElement() {
-	f := &m.frames[len(m.frames)-1]
-	if f.listKind == noList || f.elementStart >= m.length {
+func (nz *normalizer) endElement() {
+	f := &nz.frames[len(nz.frames)-1]
+	if f.listKind == noList || f.elementStart >= nz.length {
 		return
 	}
-	size := m.length - f.elementStart
+	size := nz.length - f.elementStart
 	if f.previousSize == 0 || f.previousSize != size ||
-		!bytes.Equal(m.buf[f.previousStart:f.previousStart+size], m.buf[f.elementStart:m.length]) {
-		f.previousStart, f.previousSize, f.repeats, f.elementStart = f.elementStart, size, 1, m.length
+		!bytes.Equal(nz.buf[f.previousStart:f.previousStart+size], nz.buf[f.elementStart:nz.length]) {
+		f.previousStart, f.previousSize, f.repeats, f.elementStart = f.elementStart, size, 1, nz.length
 		return
 	}
 	f.repeats++
-	m.length = f.previousStart + size
-	m.buf[m.length], m.buf[m.length+1], m.buf[m.length+2] = ' ', markRepeat, '0'+byte(lengthBucket(f.repeats))
-	m.lastToken, m.secondLastToken, m.thirdLastToken = m.length, -1, -1
-	m.length += 3
-	f.elementStart = m.length
+	nz.length = f.previousStart + size
+	nz.buf[nz.length], nz.buf[nz.length+1], nz.buf[nz.length+2] = ' ', markRepeat, '0'+byte(lengthBucket(f.repeats))
+	nz.lastToken, nz.secondLastToken, nz.thirdLastToken = nz.length, -1, -1
+	nz.length += 3
+	f.elementStart = nz.length
 }
 
 // lengthBucket returns the smallest exponent, at most 7, of a power of 8 that is not less than length.
@@ -559,8 +563,8 @@
 	return bucket
 }
 
-// quotedLength returns the length of the quoted text at the start of s, or 0 if it is not terminated. A doubled quote stands
-// for the quote itself.
+// quotedLength returns the length of the quoted text at the start of s, or 0 if it is not terminated. A doubled quote is part of
+// the quoted text. escapes states that a backslash escapes the next character.
 func quotedLength(s string, escapes bool) int {
 	quote := s[0]
 	for i := 1; i < len(s); i++ {
@@ -577,7 +581,8 @@
 	return 0
 }
 
-// commentLength returns the length of the block comment at the start of s, or 0 if it is not terminated.
+// commentLength returns the length of the block comment at the start of s, or 0 if it is not terminated. nests states that
+// comments may contain comments.
 func commentLength(s string, nests bool) int {
 	depth := 1
 	for i := 2; i+1 < len(s); i++ {
@@ -690,8 +695,8 @@
 	// PostgreSQL takes the longest run of operator characters, up to a comment. The operator may end with + or - only if
 	// it contains a character of classTrailingSign.
 	//
-	// Danger: a long run of signs is split byte by byte. Without maxOperatorBytes each step would scan the rest of the run,
-	// which takes quadratic time.
+	// A long run of signs is split byte by byte. Without maxOperatorBytes, each step would scan the rest of the run, which takes
+	// quadratic time.
 	const maxOperatorBytes = 64
 	n, trailingSign := 0, false
 	for n < len(s) && n < maxOperatorBytes && byteClass[s[n]]&classOperator != 0 {
--- a/internal/shape/catalog.go
+++ b/internal/shape/catalog.go
@@ -13,7 +13,7 @@
 // Options are the settings of a Catalog.
 type Options struct {
 	MaxBytes int    // memory limit of cached shapes
-	HashSeed uint64 // seed of the index hash; whoever knows it can make texts collide and slow down the index
+	HashSeed uint64 // seed of the index hash; a client that knows it can send texts whose hashes collide, which slows lookups
 }
 
 // Stats are the counters of a Catalog.
@@ -77,9 +77,10 @@
 	return s
 }
 
+// hashCanonical returns the seeded hash of a canonical text that the index uses.
 func (c *Catalog) hashCanonical(canonical []byte) uint64 { return xxh3.HashSeed(canonical, c.hashSeed) }
 
-// newShape parses a canonical text.
+// newShape parses a canonical text and returns its shape, which is not cached yet.
 func (c *Catalog) newShape(canonical []byte, hash uint64, owner uint8) *Shape {
 	return &Shape{Info: c.parser.parse(string(canonical)), ID: xxh3.Hash(canonical), hash: hash, lastOwner: owner}
 }
@@ -121,11 +122,12 @@
 	return string(out)
 }
 
-// errorSampleInterval is the sampling interval of estimation errors: one in so many observations with a request estimate.
+// errorSampleInterval is the sampling interval of estimation errors: they are measured for one in 4 of the observations whose
+// request gave an estimate.
 const errorSampleInterval = 4
 
 // Learn adds the cost of a query to its shape: the work in CPU ms and the peak memory in MB. requestEstimate is the work that
-// the request announced, 0 if it announced none.
+// the request estimated, 0 if it gave no estimate.
 func (c *Catalog) Learn(s *Shape, requestEstimate, work, mem float64) {
 	if s == nil || !(work > 0) || math.IsInf(work, 0) || !(mem >= 0) {
 		return
@@ -154,7 +156,7 @@
 // errorRatio returns the ratio of the larger to the smaller of two positive values.
 func errorRatio(a, b float64) float64 { return math.Max(a/b, b/a) }
 
-// featurePrior returns the prior of the shape's feature key. The keys are short, so there are few priors.
+// featurePrior returns the prior of the shape's feature key. A key has few bits, so there are few priors.
 func (c *Catalog) featurePrior(s *Shape) *prior {
 	key := s.FeatureKey()
 	p := c.featurePriors[key]
@@ -166,7 +168,7 @@
 }
 
 // Estimate returns the expected cost of a query. It combines the mean of the shape with the prior of its features, and that
-// with the prior of its kind; the fewer queries of the shape were seen, the more the priors count.
+// with the prior of its kind; the fewer queries of the shape were seen, the more weight the priors have.
 func (c *Catalog) Estimate(s *Shape) Estimate {
 	kind, feature := &c.kindPriors[s.Kind], c.featurePriors[s.FeatureKey()]
 	if feature == nil {
--- a/internal/shape/cost.go
+++ b/internal/shape/cost.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// addToBin adds to the count of a bin, shifting the bins if the number is outside their range.
+// addToBin adds to the count of a bin. It shifts the range of the bins if the bin's number is outside it.
 func (s *Sketch) addToBin(bin int, by uint16) {
 	if s.total == 0 {
 		s.firstBin = int16(bin - sketchBins/2)
@@ -125,18 +125,18 @@
 	return 0
 }
 
-// Cost is the distribution of what the queries of a shape took.
+// Cost holds the distributions of the work and the peak memory of a shape's queries.
 type Cost struct {
 	Work, Mem Sketch // CPU ms, peak memory in MB
 }
 
-// prior is the prior distribution of the cost of queries with similar features. The sums of logarithms give the variance
-// between shapes and the variance within one shape.
+// prior is the prior distribution of the cost of queries with similar features. The sums of logarithms determine the total
+// variance, and the sum of squared errors determines the variance within one shape.
 type prior struct {
 	count, workSum, memSum float64 // number of queries after decay, and sums of their costs
 	logSum, logSquareSum   float64 // sums of the logarithms of the work and of their squares
 	errorSquareSum         float64 // sum of the squared logarithmic errors of shapes' own means
-	errorCount             float64 // number of these errors
+	errorCount             float64 // number of errors in errorSquareSum
 	memCount               float64 // number of queries with known memory
 }
 
@@ -173,7 +173,7 @@
 	return math.Max(minPriorWeight, math.Min(withinVariance/math.Max(totalVariance-withinVariance, 0.01), maxPriorWeight))
 }
 
-// Weights are numbers of queries.
+// Weights of means and priors, in numbers of queries, and the limit for using an estimate.
 const (
 	defaultPriorWeight  = 3.0 // until a prior holds 8 queries and 8 errors
 	minPriorWeight      = 0.5
--- a/internal/shape/dump.go
+++ b/internal/shape/dump.go
@@ -15,8 +15,8 @@
 
 var errMalformedDump = errors.New("a shape's entry can't be read")
 
-// Dump serializes a Catalog in steps, so that no event-loop turn of its caller gets long. Costs learned between steps may or
-// may not be included.
+// Dump serializes a Catalog in steps, so that it never blocks its caller's event loop for long. Costs learned between two steps
+// may or may not be included.
 type Dump struct {
 	shapes []*Shape
 	buf    []byte
@@ -57,7 +57,7 @@
 	return len(d.shapes) == 0
 }
 
-// Bytes returns what was written so far.
+// Bytes returns the bytes written so far.
 func (d *Dump) Bytes() []byte { return d.buf }
 
 func (d *Dump) writeUint(value uint64) { d.buf = binary.AppendUvarint(d.buf, value) }
@@ -65,6 +65,7 @@
 	d.buf = binary.LittleEndian.AppendUint32(d.buf, math.Float32bits(float32(value)))
 }
 
+// writePrior writes the fields of a prior.
 func (d *Dump) writePrior(p *prior) {
 	for _, v := range p.fields() {
 		d.writeFloat(*v)
@@ -76,6 +77,7 @@
 	return []*float64{&p.count, &p.workSum, &p.memSum, &p.logSum, &p.logSquareSum, &p.errorSquareSum, &p.errorCount, &p.memCount}
 }
 
+// writeSketch writes a sketch; for an empty one, only its count.
 func (d *Dump) writeSketch(s *Sketch) {
 	d.writeUint(uint64(s.total))
 	if s.total == 0 {
@@ -94,8 +96,8 @@
 	failed bool
 }
 
-// take consumes n bytes and returns them, or nil after an error.
-func (r *dumpReader) take(n int) []byte {
+// readBytes consumes n bytes and returns them, or nil after an error.
+func (r *dumpReader) readBytes(n int) []byte {
 	if r.failed || n < 0 || n > len(r.rest) {
 		r.failed = true
 		return nil
@@ -105,6 +107,7 @@
 	return taken
 }
 
+// readUint reads an unsigned varint. A value above limit is an error.
 func (r *dumpReader) readUint(limit uint64) uint64 {
 	v, n := binary.Uvarint(r.rest)
 	if r.failed || n <= 0 || v > limit {
@@ -115,8 +118,9 @@
 	return v
 }
 
+// readFloat reads a float32. NaN and infinite values are errors.
 func (r *dumpReader) readFloat() float64 {
-	raw := r.take(4)
+	raw := r.readBytes(4)
 	if raw == nil {
 		return 0
 	}
@@ -128,6 +132,7 @@
 	return v
 }
 
+// readPrior reads a prior. Only its sum of logarithms may be negative.
 func (r *dumpReader) readPrior(p *prior) {
 	for _, v := range p.fields() {
 		*v = r.readFloat()
@@ -137,6 +142,7 @@
 	}
 }
 
+// readSketch reads a sketch, and checks that the counts of its bins add up to the stored total.
 func (r *dumpReader) readSketch(s *Sketch) {
 	n := r.readUint(maxSketchCount)
 	if n == 0 {
@@ -174,8 +180,8 @@
 	}
 	count := r.readUint(math.MaxUint32)
 	for range count {
-		canonical := r.take(int(r.readUint(maxCanonicalBytes)))
-		flags := r.take(1)
+		canonical := r.readBytes(int(r.readUint(maxCanonicalBytes)))
+		flags := r.readBytes(1)
 		if r.failed || !wellFormed(canonical) {
 			return 0, errMalformedDump
 		}
@@ -188,7 +194,7 @@
 			return 0, errMalformedDump
 		}
 		fresh.cache.add(s)
-		if flags[0]&0x80 != 0 { // it was in the main queue; a use moves it there again
+		if flags[0]&0x80 != 0 { // it was in the main queue; evict moves a used entry of the small queue there
 			s.frequency = 1
 		}
 	}
--- a/internal/shape/dump_test.go
+++ b/internal/shape/dump_test.go
@@ -24,6 +24,7 @@
 	return catalog
 }
 
+// mixedStatements returns lookups, statements with shapes of their own, and statements with special tokens.
 func mixedStatements() (all []string) {
 	for i := range 300 {
 		all = append(all, lookupStatement(i%200, i), floodStatement(i))
@@ -70,6 +71,7 @@
 	}
 }
 
+// Whatever is loaded does not crash the catalog. If it is rejected, the catalog stays empty.
 func FuzzLoad(f *testing.F) {
 	f.Add(dumpBytes(filledCatalog()))
 	f.Add(dumpBytes(NewCatalog(Options{})))
--- a/internal/shape/info.go
+++ b/internal/shape/info.go
@@ -23,7 +23,7 @@
 
 func (k Kind) String() string { return kindNames[k] }
 
-// Reason says why a statement is not proven safe to repeat.
+// Reason is the reason why a statement is not proven safe to repeat.
 type Reason uint8
 
 // The reasons. Malformed and OverLong mean that the text could not be split into tokens.
@@ -38,7 +38,7 @@
 	DynamicSQL                        // it runs a text or procedure that is not part of the statement
 	FunctionWithEffects               // it calls a function with side effects
 	SchemaFunction                    // it calls a schema-qualified function, which may have any effect
-	RemoteTableFunction               // it uses a table function that reaches other servers or files
+	RemoteTableFunction               // it uses a table function that may access other servers or files
 	TooManyTableGroups                // it names more than maxTableGroups table groups
 	UnknownKind                       // its kind is unknown for none of the other reasons
 	ReadClassWrites                   // it writes, but its class is for reads
@@ -60,13 +60,13 @@
 	ListBucket                    uint8 // lengthBucket of the longest list, rows of VALUES included
 }
 
-// Info is what a statement's text says about it. It depends on the canonical text alone.
+// Info describes what a statement does. It depends on the canonical text alone.
 type Info struct {
 	Kind       Kind
 	Reason     Reason
 	Reads      []string // table groups that are read, as decimal numbers in string order
 	Writes     []string // table groups that are written, in the same form
-	TableGroup string   // the table group that decides about warm engines and locks, "" if there is none
+	TableGroup string   // the table group that determines the warm engines and the locks, "" if there is none
 	Verb       string   // the first word, in upper case
 	Features   Features
 }
@@ -98,9 +98,9 @@
 	AnyRole               // its queries may do anything
 )
 
-// CheckRole returns the reason why a statement does not meet the promise of its class, or NoReason if it does. Queries of a
-// read class may be repeated at any time, so a statement that may write must not pass for one. A write class has rules of
-// its own for repeating, which statements that only read or are known to write can't break.
+// CheckRole returns the reason why a statement must not run in a class with the role, or NoReason if it may. Queries of a read
+// class may be repeated at any time, so a statement that may write is not accepted there. A write class has its own rules for
+// repeating queries; they cover statements that only read and statements that are known to write.
 func CheckRole(role Role, info *Info) Reason {
 	switch {
 	case role == WriteRole && info.Kind == Write:
--- a/internal/shape/keywords.go
+++ b/internal/shape/keywords.go
@@ -11,8 +11,8 @@
 	return m
 }
 
-// wordsBeforeValue are the words after which a value starts. A sign after one belongs to a number, and a question mark is a
-// parameter.
+// wordsBeforeValue are the words after which a value starts. After such a word, a sign belongs to a number, and a question mark
+// is a parameter.
 var wordsBeforeValue = wordSet(
 	`select distinct all any some where and or not xor in between like ilike similar is when then else case
 	on having by limit offset fetch values set returning return from join using with as union intersect except
@@ -37,7 +37,7 @@
 // isAggregate reports whether a function name, in lower case, is that of an aggregate function.
 func isAggregate(name string, dialect Dialect) bool {
 	if aggregateFunctions[name] {
-		// in PostgreSQL, any is also the operator of = ANY (...)
+		// In PostgreSQL, any is no aggregate function but belongs to = ANY (...).
 		return dialect == ClickHouse || name != "any"
 	}
 	if dialect == ClickHouse {
