--- a/internal/shape/parser.go
+++ b/internal/shape/parser.go
@@ -178,8 +178,10 @@
 	p.countPendingAggregate()
 }
 
+// isWord reports whether a token is an unquoted word.
 func isWord(token string) bool { return token != "" && byteClass[token[0]]&classLetter != 0 }
 
+// isName reports whether a token is a word or a quoted name.
 func isName(token string) bool {
 	return token != "" && (token[0] == '"' || byteClass[token[0]]&classLetter != 0)
 }
@@ -267,7 +269,7 @@
 			isAggregate(strings.ToLower(p.lastToken), p.dialect)
 		p.checkFunction()
 	}
-	if s.atStart && len(p.scopes) == 1 { // (SELECT ...) UNION ...
+	if s.atStart && len(p.scopes) == 1 { // as in (SELECT ...) UNION ...
 		p.statements++
 		s.statement = "select"
 	}
@@ -275,7 +277,7 @@
 	p.scopes = append(p.scopes, inner)
 }
 
-// neverFunction reports whether a word before an opening bracket is never a function name.
+// neverFunction reports whether a word is never the name of a function when an opening bracket follows.
 func neverFunction(word string) bool {
 	switch word {
 	case "in", "and", "or", "not", "values", "as", "on", "using", "where", "when", "then", "else", "any", "all", "some", "exists",
@@ -356,10 +358,10 @@
 			return p.startStatement(s, token)
 		}
 		return p.parseWord(s, token)
-	case "outfile": // INTO OUTFILE is carried out by the client
+	case "outfile": // INTO OUTFILE names a file that the client writes
 		s.expectTable, s.tableWritten = false, false
 		return true
-	case "cluster": // ON CLUSTER
+	case "cluster": // ON CLUSTER names a cluster
 		s.expectTable, s.tableWritten = false, false
 		return true
 	}
@@ -413,7 +415,7 @@
 	switch {
 	case p.scopes[0].planOnly:
 	case len(p.info.Reads) >= maxTableGroups || len(p.info.Writes) >= maxTableGroups:
-		p.setReason(TooManyTableGroups) // danger: inserting all of them into a sorted set takes quadratic time
+		p.setReason(TooManyTableGroups) // without a limit, inserting many groups into the sorted set takes quadratic time
 	case s.statement == "copy":
 		s.copyTableGroup = group
 	case written:
@@ -706,7 +708,7 @@
 	return p.startStatement(s, token)
 }
 
-// addRowLocks records a row lock, which makes the tables that a query reads count as written.
+// addRowLocks records a row lock. The tables that the query reads then count as written.
 func (p *parseState) addRowLocks() {
 	if !p.scopes[0].planOnly {
 		p.locksRows = true
@@ -714,7 +716,7 @@
 	}
 }
 
-// parseDoBody reads the rest of a DO statement, whose string holds statements.
+// parseDoBody parses the rest of a DO statement, including the statements in its string.
 func (p *parseState) parseDoBody(raw string) {
 	p.kindsSeen[Unknown] = true
 	p.info.Reason = DoBody
--- a/internal/shape/shape_test.go
+++ b/internal/shape/shape_test.go
@@ -97,31 +97,31 @@
 func rejoin(r *rand.Rand, tokens []string, dialect Dialect, changeLiterals bool) string {
 	var b strings.Builder
 	spaces := []string{" ", "\n", "\t ", " /* from no_9.where; */ ", " -- insert\n"}
-	for i, t := range tokens {
+	for i, token := range tokens {
 		switch {
-		case i > 0 && (tokens[i-1] == "." || t == "." ||
-			strings.ContainsAny(t, "<>=!|:@-*?+") && strings.ContainsAny(tokens[i-1], "<>=!|:@-*?+")):
-		case i > 0 && strings.ContainsAny(tokens[i-1], "<>=!|:@-*?+/") || strings.ContainsAny(t, "<>=!|:@-*?+/"):
+		case i > 0 && (tokens[i-1] == "." || token == "." ||
+			strings.ContainsAny(token, "<>=!|:@-*?+") && strings.ContainsAny(tokens[i-1], "<>=!|:@-*?+")):
+		case i > 0 && strings.ContainsAny(tokens[i-1], "<>=!|:@-*?+/") || strings.ContainsAny(token, "<>=!|:@-*?+/"):
 			b.WriteByte(' ')
 		default:
 			b.WriteString(spaces[r.Intn(len(spaces))])
 		}
 		switch {
-		case changeLiterals && t[0] == '\'':
-			t = "'" + strings.Repeat("x;\"y from a_1.b ", r.Intn(3)) + "''" + "'"
-		case changeLiterals && t[0] >= '0' && t[0] <= '9':
-			t = fmt.Sprint(r.Intn(1 << r.Intn(30)))
-		case dialect == Postgres && t[0]|0x20 >= 'a' && t[0]|0x20 <= 'z' && r.Intn(2) == 0:
-			t = strings.ToUpper(t)
-		}
-		b.WriteString(t)
+		case changeLiterals && token[0] == '\'':
+			token = "'" + strings.Repeat("x;\"y from a_1.b ", r.Intn(3)) + "''" + "'"
+		case changeLiterals && token[0] >= '0' && token[0] <= '9':
+			token = fmt.Sprint(r.Intn(1 << r.Intn(30)))
+		case dialect == Postgres && token[0]|0x20 >= 'a' && token[0]|0x20 <= 'z' && r.Intn(2) == 0:
+			token = strings.ToUpper(token)
+		}
+		b.WriteString(token)
 	}
 	return b.String()
 }
 
-// Every labelled statement gets its label, and keeps its shape when white space, comments, case and literals change. Danger: a
-// write recognised as a read would be repeated.
-func TestMix(t *testing.T) {
+// Every labelled statement gets its label, and keeps its shape when white space, comments, case and literals change. A write
+// recognised as a read would be repeated.
+func TestStatementLabels(t *testing.T) {
 	catalog, r, n := NewCatalog(Options{MaxBytes: 1 << 20, HashSeed: 3}), rand.New(rand.NewSource(1)), 0
 	for _, labelled := range labelledStatements(t) {
 		s := catalog.Recognise(labelled.text, labelled.dialect, 0)
@@ -150,7 +150,7 @@
 }
 
 // Statements of testdata/statements.txt get their table group and verb, and no truncation of them makes the parser fail.
-func TestStatements(t *testing.T) {
+func TestTableGroupsAndVerbs(t *testing.T) {
 	text, err := os.ReadFile("testdata/statements.txt")
 	if err != nil {
 		t.Fatal(err)
@@ -175,7 +175,7 @@
 
 // Statements that differ in names, operators or structure have different shapes. Lists of different length share a shape if
 // their lengths fall into the same bucket, whose bounds are powers of 8.
-func TestDistinct(t *testing.T) {
+func TestDistinctShapes(t *testing.T) {
 	catalog := NewCatalog(Options{MaxBytes: 1 << 20})
 	id := func(s string) uint64 { return catalog.Recognise(s, Postgres, 0).ID }
 	list := func(n int, row string) string { return strings.TrimSuffix(strings.Repeat(row+",", n), ",") }
@@ -272,7 +272,7 @@
 	}
 }
 
-// Statements with equal hashes are told apart by their canonical texts.
+// Statements with equal hashes are distinguished by their canonical texts.
 func TestHashCollisions(t *testing.T) {
 	c := newCache(1 << 20)
 	var all []*Shape
@@ -297,12 +297,12 @@
 	return func() int { return int(z.Uint64()) }
 }
 
-// lookupStatement returns a lookup query of shape i with literals that depend on lit.
+// lookupStatement returns a lookup query of the i-th shape, with literals made from the given number.
 func lookupStatement(i int, literal int) string {
 	return fmt.Sprintf("SELECT c%d, note FROM sales_%d.orders WHERE tag = '%x' AND n > %d", i, i%40, literal, literal)
 }
 
-// floodStatement returns the i-th statement of a flood, each with a shape of its own.
+// floodStatement returns the i-th statement of a flood. Each statement of the flood has another shape.
 func floodStatement(i int) string {
 	return fmt.Sprintf("SELECT f%d, note FROM sales_%d.orders WHERE tag = 'x' GROUP BY g%d", i, i%40, i)
 }
@@ -325,7 +325,7 @@
 	return float64(hits) / float64(requests)
 }
 
-// catalogLookup adapts a catalog to hitRate.
+// catalogLookup returns a lookup function for hitRate that reports whether the catalog had the shape in its cache.
 func catalogLookup(catalog *Catalog) func(string, int) bool {
 	return func(text string, owner int) bool {
 		before := catalog.stats.Hits
--- a/internal/shape/text.go
+++ b/internal/shape/text.go
@@ -69,7 +69,7 @@
 }
 
 // SubstituteParameters replaces the parameters {name:Type} of a ClickHouse text outside strings and comments. value returns
-// the text for each, which is inserted unchanged, so it must be a literal or a quoted name.
+// the replacement of a parameter. It is inserted unchanged, so it must be a literal or a quoted name.
 func SubstituteParameters(text string, value func(name, typ string) (string, error)) (string, error) {
 	var b strings.Builder
 	last := 0
@@ -99,7 +99,8 @@
 // FindFormatClause finds the clause FORMAT name at the end of a ClickHouse query, outside brackets, and returns the name and
 // the span of the clause. An INSERT has none, since its clause describes the data that follows.
 func FindFormatClause(text string) (name string, span Span, ok bool) {
-	// The last token was FORMAT; the statement is an INSERT; later tokens can't invalidate the clause.
+	// afterFormat: the last token was FORMAT. isInsert: the statement is an INSERT. complete: the clause is followed by
+	// SETTINGS or a semicolon, so later tokens can't invalidate it.
 	var afterFormat, isInsert, complete bool
 	first, last := true, ""
 	scanTokens(text, func(from, to, depth int) bool {
@@ -115,7 +116,7 @@
 			if afterFormat = false; byteClass[token[0]]&classLetter != 0 {
 				name, span.End, ok = token, to, true
 			}
-		case ok && !complete: // only SETTINGS or the end may follow; otherwise FORMAT was a name
+		case ok && !complete: // only SETTINGS or the end of the query may follow; otherwise FORMAT was a name
 			complete = true
 			ok = token == ";" || strings.EqualFold(token, "settings")
 			complete = ok
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -26,10 +26,10 @@
 const (
 	magic        = "thymeway\x00\r\n\x1a"
 	kindOffset   = len(magic)
-	kindSize     = 16 // bytes of the kind's name, padded with zeros
+	kindSize     = 16 // bytes; the kind's name is padded with zeros
 	lengthOffset = kindOffset + kindSize + 2
 	headerSize   = lengthOffset + 8
-	checksumSize = 8 // xxh3 of all bytes before it
+	checksumSize = 8 // bytes; the checksum is the xxh3 of all bytes before it
 )
 
 // Encode returns the bytes of a file with the given payload.
@@ -91,7 +91,7 @@
 	return Decode(b, kind, version)
 }
 
-// Write replaces a file atomically: it writes b to a temporary file in the same folder, syncs it and renames it.
+// Write replaces a file atomically: it writes b to a temporary file in the same directory, syncs it and renames it.
 func Write(path string, b []byte) (err error) {
 	dir := filepath.Dir(path)
 	f, err := os.CreateTemp(dir, filepath.Base(path)+".new-*")
@@ -99,7 +99,7 @@
 		return err
 	}
 	defer func() {
-		if err != nil { // Danger: temporary files left behind by failed writes would fill the disk.
+		if err != nil { // temporary files left behind by failed writes would fill the disk
 			_ = os.Remove(f.Name())
 		}
 	}()
@@ -116,9 +116,9 @@
 	if err != nil {
 		return err
 	}
-	if folder, openErr := os.Open(dir); openErr == nil { // sync the folder too, or the rename may be lost in a power failure
-		_ = folder.Sync()
-		_ = folder.Close()
+	if directory, openErr := os.Open(dir); openErr == nil { // without this sync, a power failure may undo the rename
+		_ = directory.Sync()
+		_ = directory.Close()
 	}
 	return nil
 }
@@ -135,35 +135,35 @@
 
 // NewAsyncWriter starts the goroutine that writes to path. Close ends it.
 func NewAsyncWriter(path, kind string, version uint16) *AsyncWriter {
-	k := &AsyncWriter{path: path, kind: kind, version: version, pending: make(chan []byte, 1), done: make(chan struct{})}
+	w := &AsyncWriter{path: path, kind: kind, version: version, pending: make(chan []byte, 1), done: make(chan struct{})}
 	go func() {
-		defer close(k.done)
-		for payload := range k.pending {
-			if err := Write(k.path, Encode(k.kind, k.version, payload)); err != nil {
-				slog.Error("snapshot-failed", "file", k.path, "error", err)
+		defer close(w.done)
+		for payload := range w.pending {
+			if err := Write(w.path, Encode(w.kind, w.version, payload)); err != nil {
+				slog.Error("snapshot-failed", "file", w.path, "error", err)
 			}
 		}
 	}()
-	return k
+	return w
 }
 
 // Save queues a payload, which the caller must not change afterwards. It never blocks.
-func (k *AsyncWriter) Save(payload []byte) {
+func (w *AsyncWriter) Save(payload []byte) {
 	for {
 		select {
-		case k.pending <- payload:
+		case w.pending <- payload:
 			return
 		default:
 		}
 		select {
-		case <-k.pending: // drops the older payload that still waits
+		case <-w.pending: // drops the older payload that still waits
 		default:
 		}
 	}
 }
 
 // Close waits until the last queued payload is written, and ends the goroutine.
-func (k *AsyncWriter) Close() {
-	close(k.pending)
-	<-k.done
+func (w *AsyncWriter) Close() {
+	close(w.pending)
+	<-w.done
 }
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -50,13 +50,13 @@
 		t.Fatal(err)
 	}
 	if err := Write(filepath.Join(dir, "d"), []byte("x")); err == nil {
-		t.Error("a file replaced a folder")
+		t.Error("a file replaced a directory")
 	}
 	if err := Write(filepath.Join(dir, "no", "s"), []byte("x")); err == nil {
-		t.Error("a file was written to a folder that does not exist")
+		t.Error("a file was written to a directory that does not exist")
 	}
 	if files, _ := os.ReadDir(dir); len(files) != 2 {
-		t.Errorf("%d files in the folder, want 2", len(files))
+		t.Errorf("%d files in the directory, want 2", len(files))
 	}
 	if payload, err := Read(path, "shapes", 1, 1000); err != nil || string(payload) != "one" {
 		t.Errorf("%q, %v", payload, err)
--- a/internal/standin/clickhouse.go
+++ b/internal/standin/clickhouse.go
@@ -18,7 +18,7 @@
 // Fault describes how the engine processes a query. The zero value answers it at once with a result.
 type Fault struct {
 	Delay           time.Duration // time between the query and its answer
-	TooManyQueries  bool          // rejected without being run, with exception 202
+	TooManyQueries  bool          // the query is rejected with exception 202 and does not run
 	ExceptionCode   int           // if not 0, the answer is this exception with status 500
 	LateException   bool          // status 200 and some rows, followed by an exception
 	TruncatedRow    bool          // the last row is cut, but the response ends normally
@@ -29,7 +29,8 @@
 	CloseConn       bool          // the connection closes at once, and the query goes on running
 }
 
-// Run is a query that an engine runs or has run.
+// Run is one execution of a query by an engine, which may have ended. Data is the body of a request whose Text is in the URL, and
+// Token its insert_deduplication_token. Params holds its query parameters, without the prefix "param_".
 type Run struct {
 	ID, Text, Data, Token string
 	Params                map[string]string
@@ -40,6 +41,7 @@
 // LogicalClock numbers the starts and ends of runs, across all engines that share it.
 type LogicalClock struct{ ticks atomic.Int64 }
 
+// tick advances the clock and returns its new time.
 func (c *LogicalClock) tick() int { return int(c.ticks.Add(1)) }
 
 // ClickHouse is a fake engine that implements as much of the ClickHouse HTTP interface as the tests need. It has no tables:
@@ -142,7 +144,7 @@
 	fmt.Fprintf(w, "Code: %d. DB::Exception: %s\n", code, text)
 }
 
-// execute runs one statement with the fault that the script names.
+// execute runs one statement with the fault that the script returns for it.
 func (c *ClickHouse) execute(w http.ResponseWriter, r *http.Request, id, text, data string) {
 	c.mu.Lock()
 	var fault Fault
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -15,13 +15,13 @@
 // Discovery is a fake discovery service. It sends changes of the listed worker groups to coordinators, one event per line.
 type Discovery struct {
 	mu           sync.Mutex
-	lastRevision int // of the last event
-	events       map[int]string
-	conns        map[net.Conn]bool
+	lastRevision int               // of the last event
+	events       map[int]string    // by revision
+	conns        map[net.Conn]bool // of coordinators that have sent a watch request
 	listener     net.Listener
 }
 
-// Start listens on a free local port and returns its address. last is the revision that the coordinators already know.
+// Start listens on a free local port and returns the address. last is the revision that the coordinators already know.
 func (d *Discovery) Start(last int) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -61,6 +61,7 @@
 	return len(d.conns) > 0
 }
 
+// accept serves connections until the listener is closed.
 func (d *Discovery) accept() {
 	for {
 		c, err := d.listener.Accept()
--- a/internal/standin/workergroup.go
+++ b/internal/standin/workergroup.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// pollTimeout is how long a call waits for the end of a running query before it is answered with status 202.
+// pollTimeout is how long a POST or a poll waits for the end of a running query before it is answered with status 202.
 const pollTimeout = 250 * time.Millisecond
 
 // Query is a query that a worker group received.
@@ -21,10 +21,10 @@
 
 // Answer describes how a query ends.
 type Answer struct {
-	RunTime  time.Duration   // of the query
+	RunTime  time.Duration   // how long the query runs
 	Until    <-chan struct{} // if not nil, the query runs until this is closed, and RunTime is ignored
 	Status   int             // 0 stands for 200 with a result of one row
-	NoEffect bool
+	NoEffect bool            // the answer has the header X-No-Effect
 }
 
 // WorkerGroup is a fake worker group that implements as much of the REST protocol as the tests need. Results have one page.
@@ -34,7 +34,7 @@
 
 	mu      sync.Mutex
 	queries []Query
-	runs    map[string]*run
+	runs    map[string]*run // latest runs, by query ID
 	server  *http.Server
 }
 
@@ -82,6 +82,7 @@
 	return append([]Query(nil), w.queries...)
 }
 
+// post starts a query.
 func (w *WorkerGroup) post(rw http.ResponseWriter, r *http.Request) {
 	statement, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -122,6 +123,7 @@
 	execution.finish(answer)
 }
 
+// get answers a poll, with status 500 if the query is unknown.
 func (w *WorkerGroup) get(rw http.ResponseWriter, r *http.Request) {
 	w.mu.Lock()
 	execution := w.runs[r.PathValue("id")]
@@ -133,6 +135,7 @@
 	w.writeProgress(rw, execution)
 }
 
+// delete cancels a query. An unknown query is ignored.
 func (w *WorkerGroup) delete(rw http.ResponseWriter, r *http.Request) {
 	w.mu.Lock()
 	execution := w.runs[r.PathValue("id")]
--- a/internal/starttime/starttime_test.go
+++ b/internal/starttime/starttime_test.go
@@ -7,7 +7,7 @@
 
 // Guards against misjudged starts on a machine with a wrong clock: worker groups counted as warm right after their start, or
 // as cold for an hour.
-func TestStartIsMisjudgedWhenWallClockIsWrong(t *testing.T) {
+func TestStartTimesWithWrongWallClock(t *testing.T) {
 	const hour = 3600e3
 	const now = 1.7e12 // at discovery
 	const warmAfter = 10000.0
@@ -40,7 +40,7 @@
 }
 
 // A timestamp far in the future must not make other worker groups look older than they are.
-func TestStampOfTheFutureMakesOthersWarm(t *testing.T) {
+func TestFutureTimestampDoesNotAgeOthers(t *testing.T) {
 	const now = 1.7e12
 	var e Estimator
 	if local := e.LocalStart("odd", now+3600e3, now); local != now {
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -7,7 +7,7 @@
 // EndReason is the reason why a connection, or a call or attempt on it, ended.
 type EndReason uint8
 
-// The reasons for an end. "It" is the attempt or call.
+// The reasons for an end. In their comments, "it" is the attempt or call that ended.
 const (
 	Served        EndReason = iota // the engine delivered the whole result
 	Full                           // the engine rejected it for lack of capacity, and it never ran
@@ -35,9 +35,9 @@
 // String returns the name of the reason in logs and metrics.
 func (e EndReason) String() string { return endReasonNames[e] }
 
-// Result maps the reason to the scheduler's result of an attempt. Danger: the results Full, ConnectFailed, NotRun and
-// Rejected promise the scheduler that nothing ran; only an answer that says so, or a connection that was never established,
-// may be mapped to them.
+// Result maps the reason to the scheduler's result of an attempt. The results Full, ConnectFailed, NotRun and Rejected promise
+// the scheduler that nothing ran, so only an answer that says so, or a connection that was never established, may be mapped to
+// them.
 func (e EndReason) Result() choice.Result {
 	switch e {
 	case Served:
@@ -49,12 +49,12 @@
 	case Expired, NoDescriptor:
 		return choice.NotRun
 	case Failed, ConnReset:
-		// Danger: a reset does not show that the process restarted; as a Reset it would mark the engine as cold.
+		// A reset connection does not show that the process restarted. As choice.Reset it would mark the engine as cold.
 		return choice.Error
 	case ConnRefused, Unreachable:
 		return choice.ConnectFailed
 	case NoAnswer, QueryLost:
-		// Danger: the query may have been dropped only a moment ago, or may still be on its way to the engine; as an Error it
+		// The query may have been dropped only a moment ago, or may still be on its way to the engine. As choice.Error it
 		// would count as proven to have ended.
 		return choice.Timeout
 	case Cancelled, Malformed, IdleTimeout, ClosedLocally: // a query whose answers are malformed is deleted
@@ -78,7 +78,7 @@
 type Handler interface {
 	Opened(c Conn)
 	Received(b []byte)
-	Closed(e EndReason)
+	Closed(reason EndReason)
 }
 
 // Dialer opens connections. It calls the handler later, never during Dial.
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -6,7 +6,7 @@
 	"thymeway/choice"
 )
 
-// Guards the mapping of end reasons to the scheduler's results. Only the results of the first line of the table, and
+// Guards the mapping of end reasons to the scheduler's results. Only the results in the first line of the table, and
 // Rejected, promise that nothing ran. A reset connection must not count as a restart of the engine, and a query that its
 // worker group no longer knows must not count as ended, as it may have been dropped only a moment ago.
 func TestResults(t *testing.T) {
--- a/internal/wallclock/shim/wallclock.c
+++ b/internal/wallclock/shim/wallclock.c
@@ -26,6 +26,7 @@
 	return result;
 }
 
+// shifted_clock_gettime replaces clock_gettime.
 static int shifted_clock_gettime(clockid_t id, struct timespec *ts) {
 	long result = real_clock_gettime(id, ts);
 	if (result == 0 && (id == CLOCK_REALTIME || id == CLOCK_REALTIME_COARSE)) {
@@ -36,6 +37,7 @@
 	return result;
 }
 
+// shifted_gettimeofday replaces gettimeofday.
 static int shifted_gettimeofday(struct timeval *tv, void *zone) {
 	struct timespec ts;
 	(void)zone;
@@ -45,6 +47,7 @@
 	return 0;
 }
 
+// shifted_time replaces time.
 static time_t shifted_time(time_t *t) {
 	struct timespec ts;
 	shifted_clock_gettime(CLOCK_REALTIME, &ts);
@@ -52,6 +55,7 @@
 	return ts.tv_sec;
 }
 
+// fail writes an error message and ends the process.
 static void fail(const char *what) {
 	ssize_t ignored = write(2, what, strlen(what));
 	(void)ignored;
@@ -79,6 +83,7 @@
 		if (!strcmp(name, functions[i].name)) write_jump(vdso + symbol->st_value, functions[i].target);
 }
 
+// start runs when the library is loaded. It maps the control file and patches the clock functions of the vDSO.
 __attribute__((constructor)) static void start(void) {
 	const char *path = getenv("WALL_CLOCK_SHIFT");
 	if (!path) return;
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire translates between the lines of the simulator's protocol and the types of package choice. It takes no
-// decision.
+// Package wire translates between the lines of the simulator's protocol and the events and actions of package choice. It
+// makes no decisions.
 package wire
 
 import (
@@ -13,7 +13,7 @@
 	"thymeway/choice"
 )
 
-// The kinds of a Line.
+// The values of Line.Kind.
 const (
 	Turn  = "TURN"
 	Flush = "FLUSH"
@@ -22,24 +22,24 @@
 	Event = "event"
 )
 
-// Line is one decoded line. A SHEET or ROW line only adds to the decoder's engine lists and has no Kind.
+// Line is one decoded line. The Kind of a SHEET or ROW line, which only adds to the decoder's engine lists, is empty.
 type Line struct {
 	Kind     string
-	Now      float64         // of a Turn: the time of the batch
-	Instance int             // of a Start, Stop or Event: the number of the instance
-	Settings choice.Settings // of a Start
+	Now      float64         // time of the batch in ms, of a Turn
+	Instance int             // number of the scheduler instance, of a Start, Stop or Event
+	Settings choice.Settings // settings of the instance, of a Start
 	Event    choice.Event    // of an Event; nil if the scheduler has no use for it
 }
 
-// Decoder decodes lines. It keeps the numbered engine lists, which all instances share.
+// Decoder decodes the lines from the simulator. It keeps the numbered engine lists, which all instances share.
 type Decoder struct {
 	lineNumber  int
 	sheet       int // number of the engine list that is being read
-	rowsLeft    int // ROW lines of it that are still to come
+	rowsLeft    int // number of its ROW lines that have not been read yet
 	engineLists map[int][]choice.Engine
 }
 
-// NewDecoder returns an empty decoder.
+// NewDecoder returns a decoder without engine lists.
 func NewDecoder() *Decoder { return &Decoder{engineLists: map[int][]choice.Engine{}} }
 
 // lineFields reads the values of one line and keeps the first error.
@@ -50,7 +50,7 @@
 	err    error
 }
 
-// fail records an error in a field, unless there is one already.
+// fail records an error in a field, unless an earlier error is recorded.
 func (f *lineFields) fail(i int, field, problem string) {
 	if f.err == nil {
 		f.err = fmt.Errorf("line %d: %s: field %d (%s): %s", f.line, f.name, i, field, problem)
@@ -69,7 +69,7 @@
 	return f.values[i]
 }
 
-// nonEmpty returns the text of a field that must not be empty.
+// nonEmpty returns the text of a field, and records an error if it is empty.
 func (f *lineFields) nonEmpty(i int, field string) string {
 	text := f.raw(i, field)
 	if text == "" {
@@ -78,7 +78,7 @@
 	return text
 }
 
-// number returns a finite number; an empty field counts as 0.
+// number returns the finite number in a field; an empty field counts as 0.
 func (f *lineFields) number(i int, field string) float64 {
 	text := f.raw(i, field)
 	if text == "" {
@@ -99,7 +99,7 @@
 	}
 }
 
-// wholeNumber returns a whole number that is not negative; the field must not be empty.
+// wholeNumber returns the whole number in a field, which must be neither negative nor empty.
 func (f *lineFields) wholeNumber(i int, field string) int {
 	f.require(i, field)
 	text := f.raw(i, field)
@@ -110,7 +110,7 @@
 	return value
 }
 
-// flag returns whether a field is 1; 0 and an empty field count as false.
+// flag reports whether a field is 1; 0 and an empty field count as false.
 func (f *lineFields) flag(i int, field string) bool {
 	switch s := f.raw(i, field); s {
 	case "1":
@@ -122,7 +122,7 @@
 	return false
 }
 
-// result returns the Result that an outcome code stands for.
+// result returns the choice.Result for the outcome code in a field.
 func (f *lineFields) result(i int, field string) choice.Result {
 	result, ok := results[f.raw(i, field)]
 	if !ok {
@@ -131,13 +131,13 @@
 	return result
 }
 
-// results maps the outcome codes of the simulator.
+// results maps the outcome codes of the simulator to results.
 var results = map[string]choice.Result{
 	"delivered": choice.OK, "app_error": choice.Error, "shed": choice.Full, "expired": choice.Timeout,
 	"dial_failed": choice.ConnectFailed, "dropped": choice.Reset, "revoked": choice.Cancelled, "unused": choice.NotRun,
 }
 
-// report returns a load report; unknown names in it are skipped.
+// report returns the load report in a field; unknown names in it are skipped.
 func (f *lineFields) report(i int, field string) choice.Report {
 	var report choice.Report
 	if i >= len(f.values) || f.values[i] == "-" || f.values[i] == "" {
@@ -166,7 +166,7 @@
 	return report
 }
 
-// Decode decodes the next line, given without its line break.
+// Decode decodes the next line, which is given without its line break.
 func (d *Decoder) Decode(text string) (Line, error) {
 	d.lineNumber++
 	fields := &lineFields{line: d.lineNumber, values: strings.Split(text, "\t")}
@@ -236,7 +236,7 @@
 	d.engineLists[d.sheet] = append(d.engineLists[d.sheet], engine)
 }
 
-// decodeEvent decodes the event that a line carries.
+// decodeEvent decodes the event of a line. It checks the fields of a FIRST line but leaves its Event nil.
 func (d *Decoder) decodeEvent(fields *lineFields, line *Line) {
 	switch fields.name {
 	case "REGISTRY":
@@ -312,7 +312,7 @@
 	}
 }
 
-// Encode appends the line of an instance's action to b.
+// Encode appends the line for an action of an instance to b and returns the extended buffer.
 func Encode(b []byte, instance int, a choice.Action) []byte {
 	appendLine := func(name string, parts ...string) []byte {
 		b = append(b, name...)
@@ -348,7 +348,7 @@
 	return b
 }
 
-// bootInfo is the JSON object with the settings of an instance.
+// bootInfo is the JSON object with the settings of an instance. The names of its fields are the keys of the object.
 type bootInfo struct {
 	Categories []struct {
 		Name                                              string
@@ -387,7 +387,7 @@
 	}
 }
 
-// ParseSettings converts the JSON object with the settings. Unknown keys are skipped.
+// ParseSettings converts the JSON object with the settings of an instance. Unknown keys are skipped.
 func ParseSettings(text []byte) (choice.Settings, error) {
 	var info bootInfo
 	if err := json.Unmarshal(text, &info); err != nil {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -7,8 +7,10 @@
 	"thymeway/choice"
 )
 
+// settings is a JSON object with settings, and one unknown key.
 const settings = `{"categories":[{"name":"c","sloMs":100,"idempotency":"at_most_once","byArrival":true}],"later":{"x":1}}`
 
+// lines are valid lines, in an order that the decoder accepts.
 var lines = []string{
 	"TURN\t8412.25", "FLUSH", "SHEET\t0\t2", "ROW\t-\tfloor-3\tstd-8\t1\thealthy\t0\te1",
 	"ROW\t6100.0\tfloor-5\tstd-8\t1.5\tcordoned\t0\te2", "POWER_ON\t3\t77\t" + settings,
@@ -18,7 +20,7 @@
 	"PEER\t3\t1\t00", "DESTROY\t3",
 }
 
-// TestDecode decodes one valid line of each kind.
+// TestDecode decodes all valid lines, and compares the decoded fields of an engine list, a request, an outcome and settings.
 func TestDecode(t *testing.T) {
 	d := NewDecoder()
 	var got []Line
@@ -46,8 +48,8 @@
 	}
 }
 
-// TestMalformed checks that an error names the line and the field.
-func TestMalformed(t *testing.T) {
+// TestDecodeErrorNamesLineAndField checks that the error for a malformed line names the line and the field.
+func TestDecodeErrorNamesLineAndField(t *testing.T) {
 	for _, c := range []struct{ line, want string }{
 		{"TURN\tx", "field 1 (atTimeMs)"},
 		{"TURN", "field 1 (atTimeMs)"},
@@ -68,7 +70,7 @@
 	}
 }
 
-// TestEncode encodes one action of each kind but SendToPeer.
+// TestEncode encodes one action of each kind except SendToPeer.
 func TestEncode(t *testing.T) {
 	for want, a := range map[string]choice.Action{
 		"DISPATCH\t3\tt/a\te1\t80\n":   choice.Send{Request: "t/a", Engine: "e1", Timeout: 80},
--- a/internal/workergroup/attempt.go
+++ b/internal/workergroup/attempt.go
@@ -21,13 +21,13 @@
 	fleet          *Fleet
 	group          *group
 	query          *query
-	startedAt      float64
+	startedAt      float64 // when the attempt was started, before its POST had a connection
 	postCall       *call
 	postedAt       float64 // when the POST was written; 0: not written
 	tooLateToPost  bool    // the attempt had expired when its connection became available, so the POST was not written
 	arrived        bool    // an answer has shown that the worker group received the query
 	runningAt      float64 // latest time at which the query is known to have run; 0 after a gap in the chain of answered calls
-	invalidAnswers int     // consecutive answers that can't be used
+	invalidAnswers int     // consecutive answers that could not be used
 	currentCall    *call   // the keep-alive call in progress
 	deleteCall     *call   // the DELETE in progress
 	deleteTries    int     // DELETEs that brought no proof of the end
@@ -36,13 +36,14 @@
 	endReported    bool                // since the cancellation the worker group has reported that the query has ended
 	finished       bool
 	outcome        coordinator.Outcome
-	waitTimer      deadline.Entry // fires when the wait for the attempt is over
+	waitTimer      deadline.Entry // fires at WaitUntil, if the attempt has not ended by then
 	retryTimer     deadline.Entry // fires for the next poll, page request or DELETE
 	dropTimer      deadline.Entry // fires when the worker group must have dropped the query
 }
 
 // noticeKinds maps the values of X-Tell to the kinds of progress notices.
-var noticeKinds = map[string]choice.NoticeKind{"advance": choice.NoticeProgress, "disk": choice.NoticeSpill, "stall": choice.NoticeWait}
+var noticeKinds = map[string]choice.NoticeKind{"advance": choice.NoticeProgress, "disk": choice.NoticeSpill,
+	"stall": choice.NoticeWait}
 
 // begin registers the attempt and starts the call that posts its query.
 func (a *attempt) begin() {
@@ -64,9 +65,10 @@
 			a.finish(transport.Unreachable)
 			return
 		}
-		// Danger: a query does not end when its time budget does. If its worker group is cut off, or accepts no further
-		// connection for the DELETE, the query runs on: the client is answered now, and the end is reported once proven.
-		a.fleet.Watcher.RequestOverdue(a.ID)
+		// A query does not end when its time budget does. If its worker group is cut off, or accepts no further connection
+		// for the DELETE, the query runs on. So the client is answered now, and the end of the attempt is reported once it is
+		// proven.
+		a.fleet.Listener.RequestOverdue(a.ID)
 		a.cancel(transport.NoAnswer)
 	}
 	a.fleet.Deadlines.Set(&a.waitTimer, a.WaitUntil)
@@ -114,17 +116,17 @@
 }
 
 // postDone handles the end of the POST call. Only a connection that was never established proves that nothing ran.
-func (a *attempt) postDone(r *reply, e transport.EndReason) {
+func (a *attempt) postDone(r *reply, reason transport.EndReason) {
 	switch {
 	case r != nil:
 		a.processAnswer(a.postCall, r)
 	case a.postedAt > 0:
-		logs.Trace("post-broke", a.ID, "engine", a.Engine, "wire", a.postCall.connNumber, "end", e)
+		logs.Trace("post-broke", a.ID, "engine", a.Engine, "wire", a.postCall.connNumber, "end", reason)
 		a.pollAfter(0)
 	case a.tooLateToPost:
 		a.finish(transport.Expired)
-	case e == transport.ConnRefused || e == transport.NoDescriptor:
-		a.finish(e)
+	case reason == transport.ConnRefused || reason == transport.NoDescriptor:
+		a.finish(reason)
 	default:
 		a.finish(transport.Unreachable)
 	}
@@ -138,16 +140,16 @@
 		logs.Trace("ask", a.ID, "engine", a.Engine, "fixed", c.writtenAfterPost)
 		return a.buildGet(0)
 	}
-	c.done = func(r *reply, e transport.EndReason) {
+	c.done = func(r *reply, reason transport.EndReason) {
 		if r == nil {
-			logs.Trace("ask-broke", a.ID, "engine", a.Engine, "wire", c.connNumber, "end", e)
+			logs.Trace("ask-broke", a.ID, "engine", a.Engine, "wire", c.connNumber, "end", reason)
 		}
 		switch {
 		case r != nil:
 			a.processAnswer(c, r)
-		case e == transport.ConnRefused && a.group.replaced():
+		case reason == transport.ConnRefused && a.group.replaced():
 			a.finish(transport.ProcessDied)
-		case e == transport.Unreachable || e == transport.NoAnswer:
+		case reason == transport.Unreachable || reason == transport.NoAnswer:
 			a.pollAfter(retryPause)
 		default:
 			a.pollAfter(reconnectPause)
@@ -156,8 +158,8 @@
 	a.startKeepAliveCall(c)
 }
 
-// pollAfter polls again after a pause, in milliseconds. Danger: polling without a pause would loop without end where connections
-// break as soon as they are established.
+// pollAfter polls again after a pause, in milliseconds. Without a pause, polling would loop without end where connections break
+// as soon as they are established.
 func (a *attempt) pollAfter(pause float64) {
 	a.currentCall, a.runningAt = nil, 0
 	a.retryTimer.Do = a.poll
@@ -176,8 +178,8 @@
 		a.arrived = a.arrived || r.status == 202
 		if a.endReported = a.endReported || final && a.endsAttempt(c, r); a.endReported &&
 			(a.deleteCall == nil || a.deleteCall.isWaiting()) {
-			// Danger: a DELETE that was written may arrive after the next POST of the same query and end it. So the attempt
-			// ends only once no DELETE is in flight.
+			// A DELETE that was written may arrive after the next POST of the same query and end it. So the attempt ends only
+			// once no DELETE is in flight.
 			a.finish(a.cancelReason)
 			return
 		}
@@ -194,7 +196,7 @@
 }
 
 // callSettled is called when a call that keeps the query alive has arrived or never will. A cancelled attempt then sends another
-// DELETE, as one written earlier proves nothing.
+// DELETE, since the answer to one that was written earlier proves nothing.
 func (a *attempt) callSettled() {
 	if !a.cancelled || a.finished {
 		return
@@ -216,14 +218,14 @@
 	case r.status == 202:
 		a.arrived, a.invalidAnswers = true, 0
 		kind, known := noticeKinds[r.notice]
-		// Danger: a worker group also delivers stored progress notices of a query that it has dropped in the meantime, so
-		// only an answer without a notice shows that the query is running.
+		// A worker group also delivers stored progress notices of a query that it has dropped in the meantime, so only an
+		// answer without a notice shows that the query is running.
 		if r.notice == "" {
 			a.runningAt = c.writtenAt
 		}
 		a.poll()
 		if known {
-			a.fleet.Watcher.NoticeReceived(a.ID, a.Engine, a.Number, kind, r.level)
+			a.fleet.Listener.NoticeReceived(a.ID, a.Engine, a.Number, kind, r.level)
 		}
 	case !a.endsAttempt(c, r) && (r.hasResult() || r.endsWithoutResult()):
 		// The answer may describe a time before the POST arrived, or a previous attempt.
@@ -239,7 +241,7 @@
 		a.finish(transport.Expired)
 	case r.endsWithoutResult() &&
 		(a.fleet.Now() > a.lastKnownRunning(c)+unpolledTimeout-unpolledSlack || a.query.strayDelete.Scheduled()):
-		// Danger: this may be an error of the query, or the worker group may no longer know the query, because it was dropped
+		// The error may come from the query itself, or the worker group may no longer know the query, because it was dropped
 		// or lost with its process a moment ago. The query is deleted, so that both sides consider it ended from then on.
 		a.cancel(transport.QueryLost)
 	case r.endsWithoutResult():
@@ -257,8 +259,8 @@
 	return a.runningAt
 }
 
-// pollAfterInvalid polls again after an invalid answer: the query has run, and its worker group will repeat the answer. Danger: a
-// new attempt instead would run the query twice, and this attempt might still be running.
+// pollAfterInvalid polls again after an invalid answer: the query has run, and its worker group will repeat the answer. A new
+// attempt instead would run the query twice, and possibly while this attempt is still running.
 func (a *attempt) pollAfterInvalid(what string, r *reply) {
 	a.fleet.Faults.Add("engine-spoilt", "engine", a.Engine, "what", what, "status", r.status, "bytes", len(r.body))
 	a.group.closeAnswering()
@@ -288,9 +290,9 @@
 // fetchPage requests a page after the first and tries again after a broken connection or an invalid answer, until there were too
 // many in a row.
 func (a *attempt) fetchPage(page int) {
-	retry := func(e transport.EndReason) {
+	retry := func(reason transport.EndReason) {
 		if a.invalidAnswers++; a.invalidAnswers > maxInvalidAnswers {
-			logs.Trace("page-given-up", a.ID, "engine", a.Engine, "end", e)
+			logs.Trace("page-given-up", a.ID, "engine", a.Engine, "end", reason)
 			a.cancel(transport.QueryLost)
 			return
 		}
@@ -300,10 +302,10 @@
 		a.scheduleDropCheck()
 	}
 	a.startKeepAliveCall(&call{build: func() []byte { return a.buildGet(page) }, timeout: callTimeout,
-		done: func(r *reply, e transport.EndReason) {
-			logs.Trace("page", a.ID, "engine", a.Engine, "page", page, "answered", r != nil, "end", e)
+		done: func(r *reply, reason transport.EndReason) {
+			logs.Trace("page", a.ID, "engine", a.Engine, "page", page, "answered", r != nil, "end", reason)
 			switch {
-			case e == transport.ConnRefused && a.group.replaced():
+			case reason == transport.ConnRefused && a.group.replaced():
 				a.finish(transport.ProcessDied)
 			case r == nil:
 				retry(transport.ConnReset)
@@ -338,16 +340,16 @@
 	return true
 }
 
-// cancel has the query deleted; e is the reason with which the attempt finishes once its end is proven. Danger: a request
-// may have only one attempt in flight, so its next attempt has to wait until then, and so have the next requests of its
+// cancel deletes the query on the worker group. Once the end of the attempt is proven, the attempt finishes with the reason. A
+// request may have only one attempt in flight, so its next attempt has to wait until then, and so have the next requests of its
 // order key.
-func (a *attempt) cancel(e transport.EndReason) {
+func (a *attempt) cancel(reason transport.EndReason) {
 	if a.cancelled || a.finished {
 		return
 	}
-	a.cancelled, a.cancelReason = true, e
+	a.cancelled, a.cancelReason = true, reason
 	if a.postedAt == 0 { // the POST was never written
-		a.finish(e)
+		a.finish(reason)
 		return
 	}
 	if c := a.currentCall; c != nil && !c.group.removeWaiting(c) && c.keepsAlive != nil {
@@ -371,15 +373,15 @@
 	a.retryTimer.Do()
 }
 
-// sendDelete asks the worker group to delete the query. Danger: the answer to a DELETE written before the POST was settled proves
-// nothing, as the POST may arrive afterwards.
+// sendDelete asks the worker group to delete the query. The answer to a DELETE that was written before the POST was settled
+// proves nothing, as the POST may arrive afterwards.
 func (a *attempt) sendDelete() {
 	c := &call{timeout: callTimeout, waitsForConn: true}
 	c.build = func() []byte {
 		c.writtenAfterPost = a.postSettled()
 		return buildRequest("DELETE", "/obj/"+a.ID, a.group.Addr, "", nil)
 	}
-	c.done = func(r *reply, e transport.EndReason) {
+	c.done = func(r *reply, reason transport.EndReason) {
 		a.deleteCall = nil
 		if r == nil && c.writtenAt > 0 {
 			a.query.deleteUnanswered()
@@ -388,16 +390,16 @@
 		if r != nil {
 			status = r.status
 		}
-		logs.Trace("deleted", a.ID, "engine", a.Engine, "wire", c.connNumber, "status", status, "end", e,
+		logs.Trace("deleted", a.ID, "engine", a.Engine, "wire", c.connNumber, "status", status, "end", reason,
 			"fixed", c.writtenAfterPost)
 		switch {
 		case a.finished:
-		case a.endReported, status == 204 && c.writtenAfterPost, e == transport.ConnRefused && a.group.replaced():
+		case a.endReported, status == 204 && c.writtenAfterPost, reason == transport.ConnRefused && a.group.replaced():
 			a.finish(a.cancelReason)
 		case status == 204 && !a.postSettled(): // another DELETE is sent once the POST is settled
 		case status == 204:
 			a.fleet.Deadlines.Set(&a.retryTimer, a.fleet.Now())
-		default: // danger: without a growing pause a worker group that stays silent would be tried many times a second
+		default: // without a growing pause, a worker group that stays silent would be sent a DELETE many times a second
 			a.deleteTries = min(a.deleteTries+1, 8)
 			a.fleet.Deadlines.Set(&a.retryTimer,
 				a.fleet.Now()+min(reconnectPause*float64(int(1)<<a.deleteTries)/2, unpolledTimeout))
@@ -408,7 +410,7 @@
 }
 
 // finish ends the attempt and reports its outcome. Every attempt ends here, once.
-func (a *attempt) finish(e transport.EndReason) {
+func (a *attempt) finish(reason transport.EndReason) {
 	if a.finished {
 		return
 	}
@@ -428,9 +430,9 @@
 			c.abandon()
 		}
 	}
-	a.outcome.EndReason = e
-	if e != transport.Served {
+	a.outcome.EndReason = reason
+	if reason != transport.Served {
 		a.outcome.Duration, a.outcome.Result = a.fleet.Now()-a.startedAt, nil
 	}
-	a.fleet.Watcher.AttemptEnded(a.outcome)
+	a.fleet.Listener.AttemptEnded(a.outcome)
 }
--- a/internal/workergroup/end_proof.go
+++ b/internal/workergroup/end_proof.go
@@ -92,7 +92,7 @@
 	}
 }
 
-// deleteUnanswered records that a DELETE got no answer. Danger: the DELETE may arrive late and end the request's next attempt on
+// deleteUnanswered records that a DELETE got no answer. The DELETE may still arrive late and end the request's next attempt on
 // the same worker group, which then looks like an error of that attempt.
 func (q *query) deleteUnanswered() {
 	q.strayDelete.Do = q.removeIfUnused
@@ -128,7 +128,7 @@
 
 // finishIfDropped finishes the attempt if its worker group has been running since the time when it must have dropped the
 // query. If that is not known yet, it checks again later; a worker group that stays unresponsive for maxUnresponsive is
-// considered gone.
+// considered to have ended.
 func (a *attempt) finishIfDropped() {
 	now, q := a.fleet.Now(), a.query
 	if a.group.lastRanAt < q.settledAt+unpolledTimeout && !a.group.refusing && now < q.writtenAt+maxUnresponsive {
--- a/internal/workergroup/end_proof_test.go
+++ b/internal/workergroup/end_proof_test.go
@@ -17,53 +17,54 @@
 	pendingDials []func()
 }
 
-func (d *silentNetwork) Dial(_ string, h transport.Handler) {
-	d.pendingDials = append(d.pendingDials, func() {
-		d.opened++
-		d.open++
-		h.Opened(&silentConn{d})
+func (n *silentNetwork) Dial(_ string, h transport.Handler) {
+	n.pendingDials = append(n.pendingDials, func() {
+		n.opened++
+		n.open++
+		h.Opened(&silentConn{n})
 	})
 }
 
 // silentConn is an open connection of a silentNetwork.
 type silentConn struct{ network *silentNetwork }
 
-func (e *silentConn) Write([]byte) {}
-func (e *silentConn) Close()       { e.network.open-- }
-func (e *silentConn) CloseWrite()  {}
-func (e *silentConn) Abort()       { e.network.open-- }
-func (e *silentConn) Pending() int { return 0 }
-func (e *silentConn) Idle() bool   { return true }
+func (c *silentConn) Write([]byte) {}
+func (c *silentConn) Close()       { c.network.open-- }
+func (c *silentConn) CloseWrite()  {}
+func (c *silentConn) Abort()       { c.network.open-- }
+func (c *silentConn) Pending() int { return 0 }
+func (c *silentConn) Idle() bool   { return true }
 
 // countingWatcher counts the reports on attempts, by request.
-type countingWatcher struct {
+type countingListener struct {
 	ended, overdue map[string]int
 }
 
-func (w *countingWatcher) AttemptEnded(o coordinator.Outcome)                             { w.ended[o.Request]++ }
-func (w *countingWatcher) RequestOverdue(id string)                                       { w.overdue[id]++ }
-func (w *countingWatcher) NoticeReceived(string, string, int, choice.NoticeKind, float64) {}
-func (w *countingWatcher) ProbeEnded(coordinator.Outcome)                                 {}
+func (l *countingListener) AttemptEnded(o coordinator.Outcome)                             { l.ended[o.Request]++ }
+func (l *countingListener) RequestOverdue(id string)                                       { l.overdue[id]++ }
+func (l *countingListener) NoticeReceived(string, string, int, choice.NoticeKind, float64) {}
+func (l *countingListener) ProbeEnded(coordinator.Outcome)                                 {}
 
 // Guards against a leak: with worker groups that accept connections and never answer, silent connections are kept open and
-// attempts stay unproven. They must not exceed the connection limit, and in the end no attempt, connection, call or
-// deadline may be left.
+// the end of attempts stays unproven. The connection limit must hold all the same, and in the end no attempt, connection, call
+// or deadline may be left.
 func TestPermanentlySilentWorkerGroups(t *testing.T) {
-	now, network, watcher := 0.0, &silentNetwork{}, &countingWatcher{map[string]int{}, map[string]int{}}
+	now, network, listener := 0.0, &silentNetwork{}, &countingListener{map[string]int{}, map[string]int{}}
 	queue := deadline.New()
-	fleet := &Fleet{Dialer: network, Deadlines: queue, Now: func() float64 { return now }, Watcher: watcher,
+	fleet := &Fleet{Dialer: network, Deadlines: queue, Now: func() float64 { return now }, Listener: listener,
 		Faults:         &faultlog.FaultLog{Now: func() float64 { return now }},
 		ConnectTimeout: 250, ConnIdleTimeout: 10000, MaxConns: 20}
 	for i := range 3 {
-		fleet.Update(coordinator.ListedEngine{Engine: choice.Engine{ID: fmt.Sprint("s", i)}, Addr: fmt.Sprint("127.0.0.1:410", i)})
+		fleet.Update(coordinator.ListedEngine{Engine: choice.Engine{ID: fmt.Sprint("s", i)},
+			Addr: fmt.Sprint("127.0.0.1:410", i)})
 	}
 	run := func(until float64) {
 		for {
 			for len(network.pendingDials) > 0 {
-				todo := network.pendingDials
+				dials := network.pendingDials
 				network.pendingDials = nil
-				for _, do := range todo {
-					do()
+				for _, dial := range dials {
+					dial()
 				}
 			}
 			if network.open > 20 {
@@ -88,16 +89,16 @@
 	posted := 0
 	for i := range attempts {
 		id := fmt.Sprint("r", i)
-		posted += watcher.overdue[id]
-		if watcher.ended[id] != 1 {
-			t.Errorf("%s ended %d times", id, watcher.ended[id])
+		posted += listener.overdue[id]
+		if listener.ended[id] != 1 {
+			t.Errorf("%s ended %d times", id, listener.ended[id])
 		}
 	}
 	if posted < 20 {
 		t.Errorf("only %d attempts were written", posted)
 	}
-	if fleet.InFlight() != 0 || fleet.conns != 0 {
-		t.Errorf("%d attempts and %d connections are left", fleet.InFlight(), fleet.conns)
+	if fleet.InFlight() != 0 || fleet.connCount != 0 {
+		t.Errorf("%d attempts and %d connections are left", fleet.InFlight(), fleet.connCount)
 	}
 	for _, g := range fleet.groups.All() {
 		if len(g.queries) != 0 || len(g.silent) != 0 || len(g.waiting) != 0 {
--- a/internal/workergroup/fleet.go
+++ b/internal/workergroup/fleet.go
@@ -37,21 +37,21 @@
 )
 
 // Fleet holds the worker groups named by the discovery service, and those that have disappeared from it but still have
-// attempts or connections. It implements coordinator.Engines.
+// attempts or connections. It implements coordinator.Backend.
 type Fleet struct {
 	Dialer          transport.Dialer
 	Deadlines       *deadline.Queue
 	Now             func() float64
-	Watcher         coordinator.AttemptListener
+	Listener        coordinator.AttemptListener
 	Faults          *faultlog.FaultLog
 	ConnectTimeout  float64
 	ConnIdleTimeout float64 // after which an idle connection is closed
 	MaxConns        int     // limit over all worker groups
 
-	groups    directory.Directory[*group]
-	attempts  map[attemptKey]*attempt
-	conns     int
-	dialCount int // connections ever opened
+	groups      directory.Directory[*group]
+	attempts    map[attemptKey]*attempt
+	connCount   int // open connections and those being established, over all worker groups
+	dialedCount int // connections dialed so far; numbers them for the log
 }
 
 // attemptKey identifies an attempt by its request and its number within the request.
@@ -60,26 +60,27 @@
 	number  int
 }
 
-// Know adds or updates a listed worker group. If it is not healthy, attempts that were not yet sent to it are ended.
-func (f *Fleet) Update(m coordinator.ListedEngine) {
-	if g, known := f.groups.Get(m.ID); known && m.Status != choice.Healthy {
+// Update adds or updates a listed worker group. If it is not healthy, attempts that were not yet sent to it are ended.
+func (f *Fleet) Update(e coordinator.ListedEngine) {
+	if g, known := f.groups.Get(e.ID); known && e.Status != choice.Healthy {
 		g.finishUnsent()
 	}
-	f.groups.Update(m.ID, m.Addr, m.Status == choice.Removed,
+	f.groups.Update(e.ID, e.Addr, e.Status == choice.Removed,
 		func(record directory.Record) *group { return &group{fleet: f, Record: record} })
 }
 
-// Only processes a complete list: worker groups that it does not name are removed.
-func (f *Fleet) RemoveUnlisted(named map[string]bool) {
+// RemoveUnlisted applies a complete list: worker groups that are not in it are removed, and attempts that were not yet sent to
+// them are ended.
+func (f *Fleet) RemoveUnlisted(listed map[string]bool) {
 	for _, g := range f.groups.All() {
-		if !named[g.ID] {
+		if !listed[g.ID] {
 			g.finishUnsent()
 		}
 	}
-	f.groups.RemoveUnlisted(named)
+	f.groups.RemoveUnlisted(listed)
 }
 
-// removeIfUnused forgets a removed worker group once it has no connection, attempt or waiting call.
+// removeIfUnused deletes a removed worker group once it has no connection, attempt or waiting call.
 func (f *Fleet) removeIfUnused(g *group) {
 	if f.groups.RemoveIfUnused(g) {
 		f.Deadlines.Cancel(&g.redialTimer)
@@ -87,10 +88,10 @@
 }
 
 // ensureConnCapacity reports whether one more connection may be opened. At the limit it closes an idle connection, or else
-// aborts the one that has been silent for longest. Danger: otherwise silent connections could use up the limit, and no
-// worker group could be reached.
+// aborts the one that has been silent for longest. Without that, silent connections could use up the limit, and no worker
+// group could be reached.
 func (f *Fleet) ensureConnCapacity() bool {
-	if f.conns < f.MaxConns {
+	if f.connCount < f.MaxConns {
 		return true
 	}
 	return f.CloseIdleConn() || f.abortSilent()
@@ -140,15 +141,15 @@
 func (f *Fleet) InFlight() int { return len(f.attempts) }
 
 // Send starts an attempt.
-func (f *Fleet) Send(s coordinator.Attempt) {
-	g, _ := f.groups.Get(s.Engine)
-	a := &attempt{Attempt: s, fleet: f, group: g, startedAt: f.Now()}
+func (f *Fleet) Send(spec coordinator.Attempt) {
+	g, _ := f.groups.Get(spec.Engine)
+	a := &attempt{Attempt: spec, fleet: f, group: g, startedAt: f.Now()}
 	a.begin()
 }
 
 // Cancel cancels an attempt, if it is in flight. AttemptListener.AttemptEnded follows once the attempt is proven to have ended.
-func (f *Fleet) Cancel(id string, n int) {
-	if a := f.attempts[attemptKey{id, n}]; a != nil {
+func (f *Fleet) Cancel(request string, number int) {
+	if a := f.attempts[attemptKey{request, number}]; a != nil {
 		a.cancel(transport.Cancelled)
 	}
 }
@@ -156,16 +157,16 @@
 // Probe asks a worker group for its load report.
 func (f *Fleet) Probe(engine string) {
 	g, _ := f.groups.Get(engine)
-	sent := f.Now()
-	report := func(r *reply, e transport.EndReason) {
-		outcome := coordinator.Outcome{Engine: engine, EndReason: e, Duration: f.Now() - sent}
+	sentAt := f.Now()
+	report := func(r *reply, reason transport.EndReason) {
+		outcome := coordinator.Outcome{Engine: engine, EndReason: reason, Duration: f.Now() - sentAt}
 		if r != nil {
 			outcome.Report = r.report
 			if r.status != 200 {
 				outcome.EndReason = transport.Full
 			}
 		}
-		f.Watcher.ProbeEnded(outcome)
+		f.Listener.ProbeEnded(outcome)
 	}
 	if g == nil || g.Addr == "" {
 		report(nil, transport.Unreachable)
--- a/internal/workergroup/pool.go
+++ b/internal/workergroup/pool.go
@@ -23,27 +23,27 @@
 	writtenAt        float64        // when the call was written
 	connNumber       int            // the connection that the call was written to, for the log
 	writtenAfterPost bool           // the call was written after the query's POST was settled
-	settled          bool           // the call has arrived or never will
+	settled          bool           // the call has arrived at the worker group or never will
 	timer            deadline.Entry // limits the wait for a connection, then for the answer
 }
 
 // group holds the connections to one worker group and the calls that wait for a connection.
 type group struct {
 	directory.Record
-	fleet        *Fleet
-	idle         []*conn // most recently used last
-	answering    *conn   // the connection whose answer is being processed
-	waiting      []*call // in order of arrival
-	dialing      int
-	pausing      int            // connections that pause after an answer and are then free for the next call
-	conns        int            // all connections, including those being established
-	silent       []*conn        // connections whose keep-alive call timed out, longest silent first
-	redialTimer  deadline.Entry // scheduled after a refused connection; no connection is opened before it fires
-	resets       int            // consecutive connections that were reset while being established
-	lastRanAt    float64        // when the latest answered call was written: the process was running then or later
-	refusing     bool           // the latest connection was refused, so the process is not merely hanging with an open listener
-	attemptCount int
-	queries      map[string]*query // by request id
+	fleet             *Fleet
+	idle              []*conn        // most recently used last
+	answering         *conn          // the connection whose answer is being processed
+	waiting           []*call        // in order of arrival
+	dialingCount      int            // connections being established
+	pausingCount      int            // connections that pause after an answer and are then free for the next call
+	connCount         int            // all connections, including those being established
+	silent            []*conn        // connections whose keep-alive call timed out, longest silent first
+	redialTimer       deadline.Entry // scheduled after a refused connection; no connection is opened before it fires
+	consecutiveResets int            // connections that were reset while being established
+	lastRanAt         float64        // when the latest answered call was written: the process was running then or later
+	refusing          bool           // the latest connection was refused; a process that only hangs would accept it
+	attemptCount      int
+	queries           map[string]*query // by request id
 }
 
 // conn is a connection to a worker group.
@@ -75,7 +75,7 @@
 	for n := len(g.idle); n > 0; n = len(g.idle) {
 		cn := g.idle[n-1]
 		cn.removeIdle()
-		// Danger: a reset or stray bytes that have arrived in the meantime would be taken for the answer to this call.
+		// Without this check, stray bytes or a reset that arrived in the meantime would count as the outcome of this call.
 		if cn.transport.Idle() {
 			cn.writeCall(c)
 			return
@@ -83,11 +83,11 @@
 		cn.close()
 	}
 	c.timer.Do = func() {
-		e := transport.Unreachable
-		if g.dialing == 0 {
-			e = transport.NoDescriptor
+		reason := transport.Unreachable
+		if g.dialingCount == 0 {
+			reason = transport.NoDescriptor
 		}
-		g.failWaiting(c, e)
+		g.failWaiting(c, reason)
 	}
 	g.fleet.Deadlines.Set(&c.timer, g.fleet.Now()+g.fleet.ConnectTimeout)
 	g.waiting = append(g.waiting, c)
@@ -97,40 +97,41 @@
 // dial opens a connection if a waiting call has none under way and the connection limit allows it. Otherwise the call takes a
 // connection that becomes free, or times out.
 func (g *group) dial() {
-	if g.dialing+g.pausing >= len(g.waiting) || g.redialTimer.Scheduled() || !g.fleet.ensureConnCapacity() {
+	if g.dialingCount+g.pausingCount >= len(g.waiting) || g.redialTimer.Scheduled() || !g.fleet.ensureConnCapacity() {
 		return
 	}
-	g.dialing++
-	g.conns++
-	g.fleet.conns++
-	g.fleet.dialCount++
-	g.fleet.Dialer.Dial(g.Addr, &conn{group: g, number: g.fleet.dialCount, addr: g.Addr})
+	g.dialingCount++
+	g.connCount++
+	g.fleet.connCount++
+	g.fleet.dialedCount++
+	g.fleet.Dialer.Dial(g.Addr, &conn{group: g, number: g.fleet.dialedCount, addr: g.Addr})
 }
 
 // failWaiting fails a call that still waits for a connection.
-func (g *group) failWaiting(c *call, e transport.EndReason) {
+func (g *group) failWaiting(c *call, reason transport.EndReason) {
 	if g.removeWaiting(c) {
-		c.done(nil, e)
+		c.done(nil, reason)
 	}
 }
 
-// failFirstWaiting fails the first waiting call that the failed connection was meant for. Danger: a draining worker group refuses
-// connections and goes on running its queries; calls that concern those queries keep waiting for an open connection.
-func (g *group) failFirstWaiting(e transport.EndReason) {
+// failFirstWaiting fails the first waiting call that the failed connection may have been meant for. A draining worker group
+// refuses connections and goes on running its queries, so after a refused connection the calls that concern those queries keep
+// waiting for an open connection.
+func (g *group) failFirstWaiting(reason transport.EndReason) {
 	for _, c := range g.waiting {
-		if !c.waitsForConn || e != transport.ConnRefused || g.replaced() {
-			g.failWaiting(c, e)
+		if !c.waitsForConn || reason != transport.ConnRefused || g.replaced() {
+			g.failWaiting(c, reason)
 			return
 		}
 	}
 }
 
 // replaced reports whether another process listens at the address, which proves that this group's process has ended.
-// Danger: a refused connection does not prove that, as a draining worker group also refuses connections and goes on running
-// its queries. Nor does a connection that was reset.
+// Neither a refused nor a reset connection proves that: a draining worker group also refuses connections and goes on running
+// its queries.
 func (g *group) replaced() bool { return g.Addr == "" }
 
-// removeWaiting removes a call from the waiting ones and reports whether it was among them.
+// removeWaiting removes a call from the waiting calls and reports whether it was among them.
 func (g *group) removeWaiting(c *call) bool {
 	for i, x := range g.waiting {
 		if x == c {
@@ -154,7 +155,7 @@
 }
 
 // Unused reports whether the group has no connection, attempt or waiting call.
-func (g *group) Unused() bool { return g.conns == 0 && g.attemptCount == 0 && len(g.waiting) == 0 }
+func (g *group) Unused() bool { return g.connCount == 0 && g.attemptCount == 0 && len(g.waiting) == 0 }
 
 // AddressTaken ends cancelled attempts and waiting calls, as another process now has the group's address.
 func (g *group) AddressTaken() {
@@ -200,7 +201,8 @@
 	}
 	cn.call, c.writtenAt, c.connNumber = c, f.Now(), cn.number
 	c.timer.Do = func() {
-		// Danger: connections to a machine that is cut off from the network stay open without any sign of failure.
+		// A connection to a machine that is cut off from the network stays open without any sign of failure, so only this
+		// timeout ends the wait.
 		if c.keepsAlive == nil {
 			cn.close()
 			cn.failCall(transport.NoAnswer)
@@ -222,9 +224,8 @@
 	cn.transport.Write(b)
 }
 
-// keepSilent keeps a connection open whose call has timed out. Danger: after a close the operating system goes on sending
-// what was written and never reports whether it arrived; a query could then start, or be kept alive, once the network
-// recovers.
+// keepSilent keeps a connection open whose call has timed out. After a close, the operating system would go on sending what
+// was written and never report whether it arrived. A query could then start, or be kept alive, once the network recovers.
 func (cn *conn) keepSilent() {
 	g := cn.group
 	g.silent = append(g.silent, cn)
@@ -236,7 +237,7 @@
 	g.fleet.Deadlines.Set(&cn.timer, g.fleet.Now()+maxConnSilence)
 }
 
-// removeSilent takes the connection off the silent ones, if it is among them.
+// removeSilent removes the connection from the silent connections, if it is among them.
 func (cn *conn) removeSilent() {
 	if index := slices.Index(cn.group.silent, cn); index >= 0 {
 		cn.group.silent = slices.Delete(cn.group.silent, index, index+1)
@@ -257,8 +258,8 @@
 	f.Deadlines.Set(&c.timer, f.Now()+maxSegmentLifetime)
 }
 
-// makeAvailable uses the connection for the next waiting call, after a pause in ms, or adds it to the idle ones. It closes a
-// connection of a worker group that was removed or has another address.
+// makeAvailable uses the connection for the next waiting call, after a pause in ms, or adds it to the idle connections. It
+// closes a connection of a worker group that was removed or has another address.
 func (cn *conn) makeAvailable(pause float64) {
 	g := cn.group
 	if g.Removed || cn.addr != g.Addr {
@@ -267,7 +268,7 @@
 	}
 	if pause > 0 {
 		cn.pausing = true
-		g.pausing++
+		g.pausingCount++
 		cn.timer.Do = func() {
 			cn.endPause()
 			if cn.transport.Idle() {
@@ -298,11 +299,11 @@
 func (cn *conn) endPause() {
 	if cn.pausing {
 		cn.pausing = false
-		cn.group.pausing--
+		cn.group.pausingCount--
 	}
 }
 
-// removeIdle takes the connection off the idle ones and stops its timer.
+// removeIdle stops the connection's timer and removes it from the idle connections, if it is among them.
 func (cn *conn) removeIdle() {
 	cn.group.fleet.Deadlines.Cancel(&cn.timer)
 	for i, x := range cn.group.idle {
@@ -331,13 +332,13 @@
 	cn.endPause()
 	cn.removeSilent()
 	cn.group.fleet.Deadlines.Cancel(&cn.timer)
-	cn.group.conns--
-	cn.group.fleet.conns--
+	cn.group.connCount--
+	cn.group.fleet.connCount--
 }
 
 // Opened implements transport.Handler: the connection was established.
 func (cn *conn) Opened(c transport.Conn) {
-	cn.group.dialing--
+	cn.group.dialingCount--
 	cn.group.refusing = false
 	cn.transport = c
 	cn.makeAvailable(0)
@@ -364,7 +365,7 @@
 	}
 	if r == nil {
 		if !cn.answerBegun && !slices.Contains(cn.group.silent, cn) {
-			// Danger: a truncated answer looks like a slow one, so the rest of an answer has a timeout of its own.
+			// A truncated answer looks like a slow one, so the rest of an answer has a short timeout of its own.
 			cn.answerBegun = true
 			f.Deadlines.Set(&cn.call.timer, f.Now()+partialAnswerTimeout)
 		}
@@ -375,7 +376,7 @@
 	c := cn.call
 	cn.call = nil
 	f.Deadlines.Cancel(&c.timer)
-	cn.group.resets, cn.group.lastRanAt = 0, max(cn.group.lastRanAt, c.writtenAt)
+	cn.group.consecutiveResets, cn.group.lastRanAt = 0, max(cn.group.lastRanAt, c.writtenAt)
 	c.settle()
 	if r.closeConn {
 		cn.close()
@@ -392,13 +393,13 @@
 	if r.status == 202 {
 		cn.makeAvailable(0)
 	} else {
-		// Danger: a second copy of the answer may follow, and would be taken for the answer to the next call, for example as
-		// the end of another query or as the answer to a DELETE.
+		// A second copy of the answer may follow. Without the pause it would be read as the answer to the next call, for
+		// example as the end of another query or as the answer to a DELETE.
 		cn.makeAvailable(trailingBytesPause)
 	}
 }
 
-// handleMalformed ends a connection that brought unreadable bytes. They don't show what became of the call, which may not
+// handleMalformed ends a connection that delivered unreadable bytes. They do not show what became of the call, which may not
 // even have arrived yet. So for a call that keeps a query alive only this side of the connection is closed: once the other
 // side closes in turn, it has read the call or never will.
 func (cn *conn) handleMalformed() {
@@ -428,42 +429,42 @@
 }
 
 // Closed implements transport.Handler: the connection was ended by the other side or by an error, or could not be established.
-func (cn *conn) Closed(e transport.EndReason) {
+func (cn *conn) Closed(reason transport.EndReason) {
 	if cn.transport != nil {
 		wasSilent := slices.Contains(cn.group.silent, cn)
 		cn.removeIdle()
 		cn.discard()
 		c := cn.call
 		if c != nil && c.keepsAlive != nil {
-			logs.Trace("closed-under", c.keepsAlive.id, "engine", cn.group.ID, "end", e,
+			logs.Trace("closed-under", c.keepsAlive.id, "engine", cn.group.ID, "end", reason,
 				"after", cn.group.fleet.Now()-c.writtenAt)
 			if !wasSilent {
 				c.settle()
 			}
 		}
-		cn.failCall(e)
+		cn.failCall(reason)
 		if wasSilent {
-			// Danger: when a network partition ends, a reset may arrive before data of the call that was delayed in the
-			// network, so the call is settled only later.
+			// When a network partition ends, a reset may overtake data of the call that was delayed in the network and still
+			// reaches the worker group. So the call is settled only after another ConnectTimeout.
 			c.timer.Do = c.settle
 			cn.group.fleet.Deadlines.Set(&c.timer, cn.group.fleet.Now()+cn.group.fleet.ConnectTimeout)
 		}
 		return
 	}
 	g := cn.group
-	g.dialing--
+	g.dialingCount--
 	cn.detach()
-	g.refusing = e == transport.ConnRefused
+	g.refusing = reason == transport.ConnRefused
 	if g.refusing {
 		g.redialTimer.Do = g.dial
 		g.fleet.Deadlines.Set(&g.redialTimer, g.fleet.Now()+refusedPause)
 	}
-	// More calls wait than connections are being established: the first waiting call is taken for the one this connection
-	// was for.
-	if len(g.waiting) > g.dialing && cn.addr == g.Addr {
+	// If more calls wait than connections are being established, this connection counts as the one of the first waiting call.
+	if len(g.waiting) > g.dialingCount && cn.addr == g.Addr {
 		// A connection that was reset while being established says nothing about the worker group, so another one is opened.
-		if g.resets++; e == transport.ConnRefused || e == transport.Unreachable || g.resets > maxConnResets {
-			g.failFirstWaiting(e)
+		if g.consecutiveResets++; reason == transport.ConnRefused || reason == transport.Unreachable ||
+			g.consecutiveResets > maxConnResets {
+			g.failFirstWaiting(reason)
 		}
 	}
 	g.fleet.dialForWaiting()
@@ -471,10 +472,10 @@
 }
 
 // failCall fails the call on a connection that has ended, if any.
-func (cn *conn) failCall(e transport.EndReason) {
+func (cn *conn) failCall(reason transport.EndReason) {
 	if c := cn.call; c != nil {
 		cn.call = nil
 		cn.group.fleet.Deadlines.Cancel(&c.timer)
-		c.done(nil, e)
+		c.done(nil, reason)
 	}
 }
--- a/internal/workergroup/reply.go
+++ b/internal/workergroup/reply.go
@@ -27,10 +27,10 @@
 	pageNumber int     // Page-No, -1 if absent
 	notice     string  // X-Tell: the kind of a progress notice
 	level      float64 // Figure: the level that the notice states
-	workMs     float64
-	peakMB     float64
+	workMs     float64 // Work-Ms: CPU time of the query
+	peakMB     float64 // Peak-Mb: peak memory of the query
 	report     choice.Report
-	closeConn  bool
+	closeConn  bool // the connection can't be used for another call
 	body       []byte
 }
 
@@ -39,7 +39,7 @@
 	return r.status == 200 && r.pageCount > 0 && r.pageCount <= maxPages && validRows(r.body, r.pageCount == 1)
 }
 
-// endsWithoutResult reports whether the answer is an error, which also stands for an unknown query, or a rejection without
+// endsWithoutResult reports whether the answer is an error, as it is also sent for an unknown query, or a rejection without
 // effect. The protocol has no other status for an end without a result.
 func (r *reply) endsWithoutResult() bool {
 	return r.status == 500 || r.noEffect && (r.status == 503 || r.status == 504)
