--- a/choice/attempts.go
+++ b/choice/attempts.go
@@ -107,8 +107,8 @@
 	q.sendCount++
 	q.openAttempts = append(q.openAttempts, a)
 	e.openAttempts = append(e.openAttempts, a)
-	e.threadsOut += q.class.Threads
-	s.threadsOut += q.class.Threads
+	e.threadsInFlight += q.class.Threads
+	s.threadsInFlight += q.class.Threads
 	s.threadsByPriority[priority] += q.class.Threads
 	e.tableGroupSentAt[q.TableGroup] = s.now
 	e.recentSends = append(e.recentSends, recentSend{s.now, q.class.Threads, math.Max(expected, 1)})
@@ -156,10 +156,10 @@
 			c.restartShare, c.restartShareAt = s.restartShare(c)+
 				(math.Min(o.Duration/q.slowDuration, 2)-s.restartShare(c))*restartLearnRate, s.now
 		}
-		e.lastHeardAt, e.lastOKAt, e.failures, e.errorsInRow = s.now, s.now, 0, 0
+		e.lastResponseAt, e.lastOKAt, e.failures, e.errorsInRow = s.now, s.now, 0, 0
 		delete(e.healthByClass, c)
 	case Full: // an engine that rejects every query answers at once and, with no open attempts, looks idle
-		e.lastHeardAt = s.now
+		e.lastResponseAt = s.now
 		if s.pauseForClass(e, c); s.now-e.lastOKAt > initialPauseMs {
 			s.pauseEngine(e)
 		}
@@ -167,7 +167,7 @@
 		// An engine that fails fast looks idle and would attract all traffic. A single reset may be due to a
 		// poor network link.
 		if o.Result == Error {
-			e.lastHeardAt = s.now
+			e.lastResponseAt = s.now
 		}
 		if s.countError(q, e); e.healthFor(c).errorsInRow >= suspectAfterErrors {
 			s.pauseForClass(e, c)
--- a/choice/health.go
+++ b/choice/health.go
@@ -18,7 +18,7 @@
 			missed /= e.openAttempts[0].request.class.tailRatio
 		}
 		unresponsive := missed > unresponsiveMissedAnswers &&
-			s.now-math.Max(e.lastHeardAt, e.openAttempts[0].sentAt) > s.minUnresponsiveSilence
+			s.now-math.Max(e.lastResponseAt, e.openAttempts[0].sentAt) > s.minUnresponsiveSilence
 		if unresponsive {
 			s.pauseEngine(e)
 		}
@@ -123,8 +123,8 @@
 	return now < health.pausedUntil || health.failures > 0 && slices.ContainsFunc(e.openAttempts, trying)
 }
 
-// isFaulty reports whether a request is itself at fault: an engine rejected it, or it failed on several
-// engines.
+// isFaulty reports whether a request itself causes its failures: an engine rejected it, or it failed on
+// several engines.
 func (s *Scheduler) isFaulty(q *request) bool {
 	return q.rejected || len(q.failedOn) >= max(2, min(maxFailedEngines, len(s.listedEngines)))
 }
--- a/choice/health_test.go
+++ b/choice/health_test.go
@@ -112,8 +112,8 @@
 	}
 }
 
-// A request that is itself at fault fails on every engine, and could pause the whole fleet. It must be failed after three
-// engines, and must not count against any of them.
+// A faulty request fails on every engine, and could pause the whole fleet. It must be failed after three engines, and must not
+// count against any of them.
 func TestRequestFailingOnThreeEnginesIsFailed(t *testing.T) {
 	h := newHarness(t, testSettings(), testEngine("e1"), testEngine("e2"), testEngine("e3"), testEngine("e4"))
 	for _, id := range []string{"a", "b", "c", "d", "f"} {
--- a/choice/hold.go
+++ b/choice/hold.go
@@ -83,7 +83,7 @@
 		s.refuseOrFail(q, ReasonAttempts)
 		return
 	}
-	if s.dedupWindowExpired(q) { // else its client and the next requests of its order key would wait in vain
+	if s.dedupWindowExpired(q) { // else its client and its order key would wait until the deadline
 		s.refuseOrFail(q, ReasonMayHaveRun)
 		return
 	}
@@ -185,7 +185,7 @@
 		// This compares the value of the class. The tenant's quota lowers the value of the request, which
 		// decides the order of dispatch.
 		return 3
-	case q.class.IsLoad || q.orderKey != nil && len(q.orderKey.queue) > 1: // other requests wait behind it
+	case q.class.IsLoad || q.orderKey != nil && len(q.orderKey.queue) > 1: // others are queued after it
 		return 2
 	}
 	return 1
--- a/choice/hold_test.go
+++ b/choice/hold_test.go
@@ -86,7 +86,7 @@
 	idle := h.scheduler.predictLatency(e, q, false)
 	h.scheduler.applyReport(e, Report{HasBusy: true, Busy: 0.9})
 	busy := h.scheduler.predictLatency(e, q, false)
-	e.threadsOut = 8
+	e.threadsInFlight = 8
 	own := h.scheduler.predictLatency(e, q, false)
 	if !(idle < busy && busy < own) {
 		t.Errorf("predictions do not rise: idle %v, reported busy %v, with own load %v", idle, busy, own)
@@ -135,7 +135,7 @@
 func TestSlowAnswersShrinkRoom(t *testing.T) {
 	h := newHarness(t, testSettings(), testEngine("e1"))
 	e, q := h.scheduler.engineFor(testEngine("e1")), &request{class: h.scheduler.classes["quick"]}
-	h.scheduler.now, e.threadsOut = h.now, 15
+	h.scheduler.now, e.threadsInFlight = h.now, 15
 	if !h.scheduler.hasRoom(e, q) {
 		t.Fatal("no room below two threads per core")
 	}
@@ -152,7 +152,7 @@
 	s.CoordinatorCount = 5 // each may use 3.2 threads on 8 cores
 	h := newHarness(t, s, testEngine("e1"))
 	e, q := h.scheduler.engines[0], &request{class: h.scheduler.classes["wide"]}
-	h.scheduler.now, e.threadsOut = h.now, 3
+	h.scheduler.now, e.threadsInFlight = h.now, 3
 	if h.scheduler.hasRoom(e, q) {
 		t.Fatal("share exceeded by a whole query although no report shows an idle engine")
 	}
--- a/choice/lifecycle_test.go
+++ b/choice/lifecycle_test.go
@@ -58,7 +58,7 @@
 }
 
 // The final answer must be given in the step in which it is certain that a request will not succeed. If the request stayed
-// open, its client would wait in vain.
+// open, its client would wait for an answer that never comes.
 func TestFinalAnswerComesAtOnce(t *testing.T) {
 	answer := func(actions []Action) Action {
 		for _, a := range actions {
--- a/choice/observations.go
+++ b/choice/observations.go
@@ -105,7 +105,7 @@
 			if n.Kind == NoticeSpill && !a.spilled && q.Mem > 0 { // the more memory is missing, the larger the step
 				q.class.grantRatio *= math.Pow(clampRatio(1+n.Level/q.Mem/q.class.grantRatio, maxOutcomeRatio), grantGrowthPower)
 			}
-			a.engine.lastHeardAt, a.hasNotice, a.spilled = s.now, true, a.spilled || n.Kind == NoticeSpill
+			a.engine.lastResponseAt, a.hasNotice, a.spilled = s.now, true, a.spilled || n.Kind == NoticeSpill
 			if n.Kind == NoticeWait && n.Level == 2 {
 				s.handleLockWait(a)
 			}
--- a/choice/predict.go
+++ b/choice/predict.go
@@ -28,7 +28,7 @@
 // loadSlowdown returns the ratio by which load lengthens a query with a number of threads on an engine. It
 // grows with this coordinator's threads per core there and with the engine's load.
 func (s *Scheduler) loadSlowdown(e *engine, threads float64) float64 {
-	ownLoad := (e.threadsOut + threads) / e.cores
+	ownLoad := (e.threadsInFlight + threads) / e.cores
 	return (1 + ownLoad) * (1 + s.engineLoad(e))
 }
 
@@ -37,7 +37,7 @@
 // assumed to send as much. One of many coordinators sends to each engine too seldom for its own attempts
 // there to show what its peers send, so each peer's part is mostly the mean own load over all engines.
 func (s *Scheduler) engineLoad(e *engine) float64 {
-	ownLoad := e.threadsOut / e.cores
+	ownLoad := e.threadsInFlight / e.cores
 	age := s.now - e.reportedAt
 	if s.meanReportedAt < s.now-reportLifetimeMs && age > reportLifetimeMs {
 		return ownLoad + (s.coordinators-1)*(s.meanOwnLoad+(ownLoad-s.meanOwnLoad)/s.coordinators)
@@ -84,7 +84,7 @@
 func (s *Scheduler) missedAnswers(e *engine) float64 {
 	missed := 0.0
 	for _, a := range e.openAttempts {
-		missed += (s.now - math.Max(e.lastHeardAt, a.sentAt)) / math.Max(a.expectedTime, 1)
+		missed += (s.now - math.Max(e.lastResponseAt, a.sentAt)) / math.Max(a.expectedTime, 1)
 	}
 	return missed
 }
@@ -120,7 +120,7 @@
 	return latency
 }
 
-// expectedLockWait returns how long a query usually waits behind a load, in ms.
+// expectedLockWait returns how long a query usually waits for a load to end, in ms.
 func (s *Scheduler) expectedLockWait() (wait float64) {
 	for _, c := range s.classList {
 		if c.IsLoad {
--- a/choice/random_test.go
+++ b/choice/random_test.go
@@ -36,17 +36,17 @@
 	}
 	type requestState struct {
 		Request
-		class       Class
-		sends       int
-		finished    bool
-		attemptsOut int
-		mayHaveRun  bool
-		mayRunSince float64
-		mayRunOn    string
+		class            Class
+		sends            int
+		finished         bool
+		attemptsInFlight int
+		mayHaveRun       bool
+		mayRunSince      float64
+		mayRunOn         string
 	}
 	requests, keySettlesAt := map[string]*requestState{}, map[string]float64{}
 	var arrivals []*requestState
-	var attemptsOut []sentAttempt
+	var attemptsInFlight []sentAttempt
 	engines := map[string]Engine{}
 	var allActions []Action
 	var retries, arrivalTimes []float64
@@ -80,8 +80,8 @@
 				events = append(events, q.Request)
 			}
 		}
-		var stillOut []sentAttempt
-		for _, o := range attemptsOut {
+		var stillInFlight []sentAttempt
+		for _, o := range attemptsInFlight {
 			q := requests[o.id]
 			result := OK
 			switch k := rng.Intn(12); {
@@ -90,12 +90,12 @@
 			case h.now >= q.Deadline:
 				result = Timeout
 			case h.now < o.endsAt:
-				stillOut = append(stillOut, o)
+				stillInFlight = append(stillInFlight, o)
 				continue
 			case k < 3:
 				result = []Result{Full, ConnectFailed, Error, Reset}[rng.Intn(4)]
 			}
-			q.attemptsOut--
+			q.attemptsInFlight--
 			if result > NotRun && result != OK && !q.mayHaveRun {
 				q.mayHaveRun, q.mayRunSince, q.mayRunOn = true, o.sentAt, o.engine
 			}
@@ -106,7 +106,7 @@
 			events = append(events, Outcome{Request: o.id, Attempt: o.number, Engine: o.engine, Result: result,
 				Duration: h.now - o.sentAt, RequestEnded: q.finished})
 		}
-		attemptsOut = stillOut
+		attemptsInFlight = stillInFlight
 		actions := h.step(0, append(events, Timer{"check"})...)
 		allActions = append(allActions, actions...)
 		for _, a := range actions {
@@ -119,7 +119,7 @@
 					violation("sent after the request had ended")
 				case e.Status != Healthy:
 					violation("sent to an engine that is draining or removed")
-				case q.attemptsOut > 0 && !s.ParallelAttempts:
+				case q.attemptsInFlight > 0 && !s.ParallelAttempts:
 					violation("second attempt while one is open")
 				case q.mayHaveRun && q.class.Idempotency == AtMostOnce:
 					violation("at-most-once request repeated")
@@ -136,7 +136,7 @@
 						if p == q {
 							break
 						}
-						if p.OrderKey == q.OrderKey && (!p.finished || p.attemptsOut > 0) {
+						if p.OrderKey == q.OrderKey && (!p.finished || p.attemptsInFlight > 0) {
 							violation("sent before an earlier request of its order key ended")
 						}
 					}
@@ -151,20 +151,20 @@
 						violation("more retries than the retry ration allows")
 					}
 				}
-				q.attemptsOut++
-				attemptsOut = append(attemptsOut, sentAttempt{id: a.Request, engine: a.Engine, number: q.sends,
+				q.attemptsInFlight++
+				attemptsInFlight = append(attemptsInFlight, sentAttempt{id: a.Request, engine: a.Engine, number: q.sends,
 					sentAt: h.now, endsAt: h.now + rng.ExpFloat64()*300})
 				q.sends++
 			case Cancel:
-				for i := range attemptsOut {
-					if attemptsOut[i].id == a.Request && attemptsOut[i].number == a.Attempt {
-						attemptsOut[i].cancelled = true
+				for i := range attemptsInFlight {
+					if attemptsInFlight[i].id == a.Request && attemptsInFlight[i].number == a.Attempt {
+						attemptsInFlight[i].cancelled = true
 					}
 				}
 			case Refuse:
 				q := requests[a.Request]
-				if q.finished || q.class.Idempotency == AtMostOnce && (q.mayHaveRun || q.attemptsOut > 0) ||
-					q.class.Idempotency == Deduplicated && (q.mayHaveRun || q.attemptsOut > 0) {
+				if q.finished || q.class.Idempotency == AtMostOnce && (q.mayHaveRun || q.attemptsInFlight > 0) ||
+					q.class.Idempotency == Deduplicated && (q.mayHaveRun || q.attemptsInFlight > 0) {
 					t.Fatalf("seed %d: refused though it ended or may have run: %+v", seed, q)
 				}
 				q.finished = true
--- a/choice/room.go
+++ b/choice/room.go
@@ -24,7 +24,7 @@
 	return value >= valueRate/float64(s.settings.MaxOpenRequests)*duration
 }
 
-// handleLockWait handles a notice that an attempt waits behind a load. Its request is moved to an engine
+// handleLockWait handles a notice that an attempt waits for a load to end. Its request is moved to an engine
 // where it need not wait, or refused if other requests would serve more value in its slot. Client connections
 // are limited, and without this, waiting requests may occupy half of them until they end.
 func (s *Scheduler) handleLockWait(a *attempt) {
@@ -93,12 +93,12 @@
 		limit *= math.Max(crowdedSlowdown/slowdown, minCrowdedRoomShare)
 		minFree = q.class.Threads // and the whole query must fit
 	}
-	return e.threadsOut+minFree <= math.Max(limit, q.class.Threads)
+	return e.threadsInFlight+minFree <= math.Max(limit, q.class.Threads)
 }
 
 // withinThreadBudget reports whether a query fits in this coordinator's thread budget, its part of the
 // fleet's room. A budget may be as small as one or two queries and fill up by chance, so the mean number of
-// threads out over time is compared with it. Queries of lower priority do not count: a query of higher
+// threads in flight over time is compared with it. Queries of lower priority do not count: a query of higher
 // priority is served before them on an engine, and would otherwise wait for them here. Under MemoryPaging all
 // queries count, since memory runs short before cores do.
 func (s *Scheduler) withinThreadBudget(q *request) bool {
@@ -109,7 +109,7 @@
 				meanThreads+s.meanThreadsByPriority[priority]
 		}
 	}
-	// Without this, a query of high value per work would be late behind a few long ones that fill the budget.
+	// Without this, a query of high value per work would wait for a few long ones that fill the budget.
 	if q.valueDensity > highDensityRatio*s.meanValueDensity() {
 		meanThreads /= denseBudgetRatio
 	}
--- a/choice/rules_test.go
+++ b/choice/rules_test.go
@@ -137,7 +137,7 @@
 	}
 }
 
-// Loads of one table group run one after another, and the expected time of each includes those ahead of it. The wait behind
+// Loads of one table group run one after another, and the expected time of each includes those ahead of it. The wait for
 // two of them is therefore the time of the last, not the sum.
 func TestWaitBehindQueuedLoads(t *testing.T) {
 	h := newHarness(t, testSettings(), testEngine("e1"))
@@ -148,7 +148,7 @@
 			&attempt{request: &request{Request: Request{TableGroup: "7"}, class: q.class}, engine: e, number: i,
 				sentAt: h.now, expectedTime: expect})
 	}
-	e.lastHeardAt = h.now
+	e.lastResponseAt = h.now
 	if got := h.scheduler.predictLatency(e, q, false) - alone; got != 2000 {
 		t.Errorf("the wait behind loads expected to take 1000 and 2000 ms is %.0f ms, want 2000", got)
 	}
--- a/choice/scale_test.go
+++ b/choice/scale_test.go
@@ -181,20 +181,20 @@
 	for i := range answers {
 		answers[i] = map[float64][]Event{}
 	}
-	threadsOut, sum, samples := 0.0, 0.0, 0.0
+	threadsInFlight, sum, samples := 0.0, 0.0, 0.0
 	for step := 0; step < 200; step++ {
 		fleet.now += 50
 		for i, scheduler := range fleet.schedulers {
 			events := append(answers[i][fleet.now], Timer{"check"}, fleet.request(i, step, "wide", fmt.Sprint(step%30)))
-			threadsOut -= 3 * float64(len(answers[i][fleet.now]))
+			threadsInFlight -= 3 * float64(len(answers[i][fleet.now]))
 			for _, x := range sendActions(scheduler.Step(fleet.now, events)) {
-				threadsOut += 3
+				threadsInFlight += 3
 				answers[i][fleet.now+1000] = append(answers[i][fleet.now+1000],
 					Outcome{Request: x.Request, Engine: x.Engine, Result: OK, Duration: 1000, RequestEnded: true})
 			}
 		}
 		if step >= 100 {
-			sum, samples = sum+threadsOut/(engines*8), samples+1
+			sum, samples = sum+threadsInFlight/(engines*8), samples+1
 		}
 	}
 	if mean := sum / samples; mean < 1.2 || mean > 2.7 {
@@ -203,7 +203,7 @@
 }
 
 // An engine serves queries of low priority last. If they could fill a coordinator's thread budget, queries with more value
-// per work, which an engine would serve at once, would wait behind them in the coordinator.
+// per work, which an engine would serve at once, would be queued after them in the coordinator.
 func TestDenseQueryDoesNotWaitForLowerPriority(t *testing.T) {
 	s := testSettings()
 	s.PrioritiesHonored, s.Classes[1].Value = true, 3
@@ -570,7 +570,7 @@
 }
 
 // A few long queries may fill a coordinator's thread budget. The many short queries, which have the most value per work, would
-// wait behind them until they are late. So they may exceed a budget that is full on average, but only up to a limit.
+// be queued after them until they are late. So they may exceed a budget that is full on average, but only up to a limit.
 func TestDenseQueryMayExceedThreadBudget(t *testing.T) {
 	scheduler := newTestFleet(testSettings(), 200, 20).schedulers[0]
 	for _, c := range []struct {
--- a/choice/state.go
+++ b/choice/state.go
@@ -35,20 +35,20 @@
 	totalRequests, totalProbes               float64
 	peerMessagesSent                         float64 // in messages of full length
 	meanWarmFactor, meanColdFactor           float64 // over the listed engines
-	threadsOut                               float64 // of all attempts on engines
+	threadsInFlight                          float64 // of all attempts on engines
 	threadBudget                             float64 // this coordinator's part of the fleet's room, in threads
 	trafficShare                             float64 // share of all coordinators' traffic that arrives here
 	requestedWork                            decayingSum
 	budgetGrowth                             float64                // factor that adapts threadBudget to the fleet's load
 	manyPeers                                bool                   // there are more than manyCoordinators coordinators
-	threadsByPriority, meanThreadsByPriority [priorityCount]float64 // threadsOut by priority, and its mean over time
+	threadsByPriority, meanThreadsByPriority [priorityCount]float64 // threadsInFlight by priority, and its mean over time
 	meanThreadsAt                            float64
 	tableGroups                              map[string]*tableGroup
 	tableGroupRequests                       decayingSum // over all table groups
 	listVersion                              int         // counts the updates of the engine list
 	listedEngines, ring                      []*engine   // listed engines, as in engines, and by idHash
 	preferred, candidateBuf                  []*engine   // candidates at the last list update, and a buffer for candidates
-	meanOwnLoad, tieBreakShare               float64     // threadsOut per core of the fleet; 0 for 1 coordinator, near 1 for many
+	meanOwnLoad, tieBreakShare               float64     // threadsInFlight per fleet core; 0 for one coordinator, near 1 for many
 	meanReportedLoad, meanReportedAt         float64
 	nextSweepAt, nextWakeAt                  float64
 	// Sums over answers: logarithms of how many times longer than on an idle engine they took, and their number.
@@ -72,8 +72,8 @@
 	tableGroupSentAt            map[string]float64 // when a query of a table group was last sent there
 	tableGroupLockedUntil       map[string]float64 // until when a load is assumed to hold a table group there
 	openAttempts                []*attempt         // in the order of their sends
-	threadsOut                  float64            // of openAttempts
-	lastHeardAt                 float64            // time of its last answer or progress notice
+	threadsInFlight             float64            // of openAttempts
+	lastResponseAt              float64            // time of its last answer or progress notice
 	reportedLoad, reportedAt    float64
 	grantedMemShare             float64 // of its memory, by its last report; under MemoryPaging, the share in use
 	failures, errorsInRow       int     // since its last successful answer
@@ -342,8 +342,8 @@
 		return
 	}
 	e.openAttempts = append(e.openAttempts[:index:index], e.openAttempts[index+1:]...)
-	e.threadsOut -= a.request.class.Threads
-	s.threadsOut -= a.request.class.Threads
+	e.threadsInFlight -= a.request.class.Threads
+	s.threadsInFlight -= a.request.class.Threads
 	s.threadsByPriority[a.priority] -= a.request.class.Threads
 }
 
@@ -393,7 +393,7 @@
 			coldSum, coldCount = coldSum+e.coldFactor.ratio, coldCount+1
 		}
 	}
-	s.meanOwnLoad = s.threadsOut / math.Max(cores, 1)
+	s.meanOwnLoad = s.threadsInFlight / math.Max(cores, 1)
 	if s.manyPeers { // the momentary load of one of many coordinators says nothing about that of its peers
 		s.meanOwnLoad = 0
 		for _, v := range s.meanThreadsByPriority {
--- a/choice/tuning.go
+++ b/choice/tuning.go
@@ -101,12 +101,12 @@
 	unevenShareRatio = 2.0
 	// Time constant of a coordinator's share of the traffic.
 	demandWindowMs = 10000.0
-	// Time constant of the mean number of threads out, which counts against the thread budget, and of the
-	// mean slowdown.
+	// Time constant of the mean number of threads in flight, which counts against the thread budget, and of
+	// the mean slowdown.
 	threadAverageMs = 3000.0
 	// Multiple of the thread budget that this mean may reach for a query of high value density.
 	denseBudgetRatio = 1.3
-	// Multiple of the thread budget that a coordinator may have out at one moment.
+	// Multiple of the thread budget that a coordinator may have in flight at one moment.
 	burstBudgetRatio = 2.0
 	// Ratio of the time of an engine's answers to their time under light load from which its room shrinks.
 	crowdedSlowdown = 1.7
@@ -128,7 +128,7 @@
 	initialPauseMs = 400.0
 	// Longest pause of an engine that failed, without its random part.
 	maxPauseMs = 4000.0
-	// A request that failed on this many engines is considered to be at fault itself.
+	// A request that failed on this many engines is considered faulty.
 	maxFailedEngines = 3
 	// Ratio by which a prediction grows on an engine where the request has failed.
 	failedEnginePenalty = 4.0
@@ -148,7 +148,7 @@
 	lockHeldMs = 100.0
 	// Slots are scarce from this share of MaxOpenRequests.
 	scarceSlotShare = 0.9
-	// Number of slots that a load counts as, because other requests wait behind it.
+	// Number of slots that a load counts as, because other requests are queued after it.
 	slotsPerLoad = 3.0
 	// Time constant of the measured value served.
 	servedValueWindowMs = 5000.0
--- a/cmd/thymectl/main.go
+++ b/cmd/thymectl/main.go
@@ -1,4 +1,4 @@
-// Command thymectl is the operators' offline tool. It analyses statements and the files that the coordinator writes, in a
+// Command thymectl is the operators' offline tool. It analyzes statements and the files that the coordinator writes, in a
 // process of its own, so that expensive work does not slow the coordinator down.
 package main
 
--- a/cmd/thymectl/shapes.go
+++ b/cmd/thymectl/shapes.go
@@ -86,7 +86,7 @@
 		if fault != "" {
 			return encoder.Encode(explainedStatement{shape.Unknown.String(), []string{}, []string{}, "", "default", fault})
 		}
-		return encoder.Encode(explainShape(catalog.Recognise(*input.Text, dialect, 0)))
+		return encoder.Encode(explainShape(catalog.Recognize(*input.Text, dialect, 0)))
 	})
 	if err != nil {
 		return err
@@ -144,7 +144,7 @@
 			owners[input.Tenant] = owner
 		}
 		start := time.Now()
-		found := catalog.Recognise(*input.Text, dialect, owner)
+		found := catalog.Recognize(*input.Text, dialect, owner)
 		elapsed += time.Since(start)
 		if found.Reason != shape.NoReason {
 			unproven[found.Reason]++
--- a/cmd/thymectl/shapes_test.go
+++ b/cmd/thymectl/shapes_test.go
@@ -89,7 +89,7 @@
 // show lists the shapes in a snapshot, and rejects a truncated one with the reason.
 func TestShow(t *testing.T) {
 	catalog := shape.NewCatalog(shape.Options{MaxBytes: 1 << 20})
-	catalog.Learn(catalog.Recognise("SELECT a FROM sales_3.t WHERE b = 5", shape.Postgres, 0), 0, 70, 5)
+	catalog.Learn(catalog.Recognize("SELECT a FROM sales_3.t WHERE b = 5", shape.Postgres, 0), 0, 70, 5)
 	dump := catalog.Dump()
 	dump.Step(10)
 	file := filepath.Join(t.TempDir(), "s")
--- a/internal/chhttp/format_test.go
+++ b/internal/chhttp/format_test.go
@@ -149,7 +149,7 @@
 // Whatever the value of a query parameter contains, it becomes one literal in the text, and the shape of the text stays the same.
 func TestParametersStayLiterals(t *testing.T) {
 	catalog := shape.NewCatalog(shape.Options{MaxBytes: 1 << 20})
-	want := catalog.Recognise("SELECT a FROM sales_3.t WHERE b = 'x' AND c = 1", shape.ClickHouse, 0).ID
+	want := catalog.Recognize("SELECT a FROM sales_3.t WHERE b = 'x' AND c = 1", shape.ClickHouse, 0).ID
 	rapid.Check(t, func(t *rapid.T) {
 		value := string(rapid.SliceOfN(rapid.SampledFrom([]byte(`a'"\;-/*#()`+"`\n")), 0, 12).Draw(t, "value"))
 		text, err := shape.SubstituteParameters("SELECT a FROM sales_3.t WHERE b = {v:String} AND c = {n:UInt8}",
@@ -162,7 +162,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if s := catalog.Recognise(text, shape.ClickHouse, 0); s.ID != want {
+		if s := catalog.Recognize(text, shape.ClickHouse, 0); s.ID != want {
 			t.Fatalf("value %q gives %q, which has another shape: %s", value, text, s.Text())
 		}
 	})
@@ -233,7 +233,7 @@
 	}
 }
 
-// FORMAT is recognised only where it is a clause of the query.
+// FORMAT is recognized only where it is a clause of the query.
 func TestFormatClause(t *testing.T) {
 	for text, want := range map[string]string{
 		"SELECT 1 FORMAT JSON": "JSON", "select 1 format CSV settings a = 1": "CSV", "SELECT 'FORMAT JSON'": "",
--- a/internal/chhttp/request.go
+++ b/internal/chhttp/request.go
@@ -313,7 +313,7 @@
 	if len(data) > 0 {
 		request.Statement += "\n" + string(data)
 	}
-	srv.Coordinator.Recognise(request)
+	srv.Coordinator.Recognize(request)
 	if head.Method != "POST" && request.Shape.Kind == shape.Write { // proxies may repeat GET and HEAD requests
 		return newException(codeReadonly,
 			"Cannot execute query in readonly mode. For queries over HTTP, method GET implies readonly.")
--- a/internal/chhttp/server.go
+++ b/internal/chhttp/server.go
@@ -39,8 +39,8 @@
 // Coordinator accepts the requests of the sessions. coordinator.Coordinator implements it.
 type Coordinator interface {
 	Check(r *coordinator.Request) error
-	Recognise(r *coordinator.Request)
-	Take(r *coordinator.Request)
+	Recognize(r *coordinator.Request)
+	Submit(r *coordinator.Request)
 	Drop(r *coordinator.Request)
 }
 
@@ -152,7 +152,7 @@
 	s.processInput()
 }
 
-// processInput handles the requests that are complete. Requests behind an open query wait for its response.
+// processInput handles the requests that are complete. Requests that arrive while a query is open wait for its response.
 func (s *Session) processInput() {
 	// A query that is answered at once calls processInput again from within the loop below. Without this check, the nested call
 	// would handle the same bytes a second time.
@@ -176,7 +176,7 @@
 	}
 	s.reserveBytes(s.neededBytes()) // not checked, as fewer bytes are usually needed than before
 	switch maxInput := maxHeadBytes + srv.Config.Local.ClickHouse.MaxBodyBytes; {
-	case len(s.input) > maxInput: // a client that keeps writing behind an open request would use up the memory
+	case len(s.input) > maxInput: // a client that keeps writing while a request is open would use up the memory
 		s.refuseAndClose(413, newException(codeTooLarge, "over %d bytes behind an open request", maxInput))
 	case s.query == nil && s.head == nil && len(s.input) == 0:
 		s.input = nil
@@ -357,7 +357,7 @@
 	}
 	q.Deadline = srv.Now() + q.timeLimit - math.Min(srv.Margin, q.timeLimit*maxMarginShare)
 	q.Client, q.Protocol = s, "clickhouse"
-	srv.Coordinator.Take(q.Request)
+	srv.Coordinator.Submit(q.Request)
 }
 
 // answerLocally returns the result of a query that needs no engine: a query about the server, or KILL QUERY for an open query of
--- a/internal/chhttp/server_test.go
+++ b/internal/chhttp/server_test.go
@@ -36,13 +36,13 @@
 }
 
 func (t *fakeCoordinator) Check(*coordinator.Request) error { return nil }
-func (c *fakeCoordinator) Recognise(r *coordinator.Request) {
+func (c *fakeCoordinator) Recognize(r *coordinator.Request) {
 	if r.Shape == nil {
-		r.Shape = c.catalog.Recognise(r.Statement, r.Dialect, 0)
+		r.Shape = c.catalog.Recognize(r.Statement, r.Dialect, 0)
 	}
 }
-func (c *fakeCoordinator) Take(r *coordinator.Request) { c.open[r.ID] = r }
-func (c *fakeCoordinator) Drop(r *coordinator.Request) { delete(c.open, r.ID) }
+func (c *fakeCoordinator) Submit(r *coordinator.Request) { c.open[r.ID] = r }
+func (c *fakeCoordinator) Drop(r *coordinator.Request)   { delete(c.open, r.ID) }
 
 // newTestServer returns a server for 8 connections, its coordinator and the clock that it reads.
 func newTestServer(t testing.TB) (*Server, *fakeCoordinator, *float64) {
@@ -154,7 +154,7 @@
 	if len(coord.open) != 1 || srv.heldBytes != 80 {
 		t.Errorf("%d requests open, %d bytes held", len(coord.open), srv.heldBytes)
 	}
-	first.Received([]byte("GET /ping")) // input behind an open request counts too
+	first.Received([]byte("GET /ping")) // input received while a request is open counts too
 	if srv.heldBytes != 89 {
 		t.Errorf("%d bytes are held with input behind an open request", srv.heldBytes)
 	}
@@ -173,7 +173,7 @@
 	}
 }
 
-// A client that keeps writing behind an open request is disconnected and its request dropped. If the request stayed open, its
+// A client that keeps writing while a request is open is disconnected and its request dropped. If the request stayed open, its
 // result would be delivered to a session that has no request.
 func TestInputLimitBehindOpenRequest(t *testing.T) {
 	for _, maxHeldBytes := range []int{0, 4096} {
--- a/internal/config/local.go
+++ b/internal/config/local.go
@@ -71,7 +71,7 @@
 	set func(local *Local, name, v string) error
 }
 
-// localSettings lists all keys. A star at the end of a section stands for a name.
+// localSettings lists all keys. A star at the end of a section matches any name.
 var localSettings = []setting{
 	{"log", "level", "info", "least level of the lines that are written: debug, info, warn or error",
 		func(local *Local, _, v string) error {
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -23,7 +23,7 @@
 	Statement      string
 	Protocol       string // protocol over which it arrived; requests are counted by it
 	Dialect        shape.Dialect
-	Shape          *shape.Shape // of the statement; set by Recognise
+	Shape          *shape.Shape // of the statement; set by Recognize
 	Client         Client
 	ClickHouse     *ClickHouse // further data of a request received over ClickHouse's HTTP interface; otherwise nil
 	clientEstimate float64     // estimate of its work that the client sent, in CPU ms; 0: none
@@ -194,10 +194,10 @@
 	return ok
 }
 
-// Recognise determines the shape of a request's statement. It sets Shape and Tables on the first call.
-func (c *Coordinator) Recognise(r *Request) {
+// Recognize determines the shape of a request's statement. It sets Shape and TableGroup on the first call.
+func (c *Coordinator) Recognize(r *Request) {
 	if r.Shape == nil {
-		r.Shape = c.statements.Shapes.Recognise(r.Statement, r.Dialect, c.tenantIndexes[r.Tenant])
+		r.Shape = c.statements.Shapes.Recognize(r.Statement, r.Dialect, c.tenantIndexes[r.Tenant])
 		r.TableGroup = r.Shape.TableGroup
 	}
 }
@@ -206,7 +206,7 @@
 // proven to keep the promise of its class is still accepted and passed on unchanged, but it is never sent again once it may
 // have run. Without this, a write that its client sends under a class of lookups could run twice.
 func (c *Coordinator) prepare(r *Request) {
-	c.Recognise(r)
+	c.Recognize(r)
 	if reason := shape.CheckRole(c.roles[r.Class], &r.Shape.Info); reason != shape.NoReason {
 		r.AtMostOnce, r.unproven = true, true
 		c.unprovenCounts[reason]++
@@ -235,8 +235,8 @@
 	c.wake()
 }
 
-// Take accepts a request. A request that cannot be passed to the scheduler is failed immediately.
-func (c *Coordinator) Take(r *Request) {
+// Submit accepts a request. A request that cannot be passed to the scheduler is failed immediately.
+func (c *Coordinator) Submit(r *Request) {
 	if c.requests[r.ID] != nil {
 		// Neither the scheduler nor a worker group can tell two requests with the same id apart.
 		r.Client.Fail("a request with this id is still open")
--- a/internal/coordinator/storm_monitor_test.go
+++ b/internal/coordinator/storm_monitor_test.go
@@ -21,7 +21,7 @@
 		r := &Request{IdempotencyKey: key, Protocol: protocol,
 			Statement: fmt.Sprintf("SELECT c%d FROM sales_3.t WHERE id = %d", n%7, n)}
 		r.ID, r.Tenant, r.Class, r.Repeat = fmt.Sprint(n), tenant, "lookup", repeat
-		r.Shape = catalog.Recognise(r.Statement, shape.Postgres, 0)
+		r.Shape = catalog.Recognize(r.Statement, shape.Postgres, 0)
 		if protocol == "clickhouse" {
 			r.ClickHouse = &ClickHouse{}
 		}
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -9,7 +9,7 @@
 	"thymeway/internal/transport"
 )
 
-// conn is an accepted or dialled connection. Its descriptor is closed only between two batches of events: a new connection may
+// conn is an accepted or dialed connection. Its descriptor is closed only between two batches of events: a new connection may
 // get the same descriptor number, and would otherwise receive the remaining events of the old one.
 type conn struct {
 	loop     *Loop
--- a/internal/eventloop/dial.go
+++ b/internal/eventloop/dial.go
@@ -131,7 +131,7 @@
 		return transport.ConnRefused
 	case isResourceShortage(err):
 		return transport.NoDescriptor
-	// A connection that was established and reset at once proves nothing about the process behind it. If it were reported as
+	// A connection that was established and reset at once proves nothing about the process at the address. If it were reported as
 	// Unreachable, it would count as a failure to connect.
 	case errors.Is(err, unix.ECONNRESET), errors.Is(err, unix.EPIPE), errors.Is(err, unix.ENOTCONN):
 		return transport.ConnReset
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -28,7 +28,7 @@
 	Turn           func() // runs in each turn, after the due deadlines
 	OnStart        func() // runs once on the loop, before the first event
 	FreeDescriptor func() // called to free a descriptor when the system has none left; may be nil
-	// ConnectTimeout is the time in ms within which a dialled connection has to be established.
+	// ConnectTimeout is the time in ms within which a dialed connection has to be established.
 	ConnectTimeout float64
 
 	syscalls      syscalls
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -19,7 +19,7 @@
 func (e *echoHandler) Received(b []byte)          { e.conn.Write(b) }
 func (e *echoHandler) Closed(transport.EndReason) {}
 
-// helloHandler is the dialling side: it sends a text and reports its echo, or the reason for the end.
+// helloHandler is the dialing side: it sends a text and reports its echo, or the reason for the end.
 type helloHandler struct {
 	conn   transport.Conn
 	result chan string
@@ -45,7 +45,7 @@
 	return l.Addr().String()
 }
 
-// Guards against wrong end reasons of dialled connections: Dial must tell apart an open port, a port on which nothing listens,
+// Guards against wrong end reasons of dialed connections: Dial must tell apart an open port, a port on which nothing listens,
 // an invalid address, and a connection that was reset while it was being established.
 func TestDial(t *testing.T) {
 	addr, refused := freeAddr(t), freeAddr(t)
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -94,7 +94,7 @@
 	return strings.ToLower(name)
 }
 
-// splitHead splits a head into its lines and returns its length. Only CR LF ends a line: if another parser on the way saw line
+// splitHead splits a head into its lines and returns its length. Only CR LF ends a line: if another parser on the path saw line
 // ends elsewhere, a request could be smuggled inside another one.
 func splitHead(b []byte, l Limits) (lines []string, n int, err error) {
 	end := bytes.Index(b, []byte("\r\n\r\n"))
@@ -295,9 +295,9 @@
 const (
 	stateData      = iota // within the data of a chunk, or of a body with a length
 	stateChunkSize        // before the line with the size of a chunk
-	stateChunkEnd         // before the CR LF behind a chunk
-	stateTrailer          // behind the last chunk, of size 0
-	stateDone             // behind the end of the body
+	stateChunkEnd         // before the CR LF after a chunk
+	stateTrailer          // after the last chunk, of size 0
+	stateDone             // after the end of the body
 )
 
 // NewBodyDecoder returns a decoder for the body of the message, which may have at most maxBytes. It returns an error if the head
--- a/internal/node/mixed_protocols_test.go
+++ b/internal/node/mixed_protocols_test.go
@@ -59,7 +59,7 @@
 		s.deadlines.RunDue(s.now)
 		s.node.Coordinator.Turn()
 		if s.wakeRequested {
-			s.now += 0.001 // a turn takes time; otherwise turns that request another one could stop the time for ever
+			s.now += 0.001 // a turn takes time; otherwise turns that request another one would stop the virtual time
 			continue
 		}
 		nextTime, nextIndex := 0.0, -1
--- a/internal/node/order_key_test.go
+++ b/internal/node/order_key_test.go
@@ -442,7 +442,7 @@
 }
 
 // runWithFaults sends 150 loads with 4 order keys to a coordinator whose worker groups suffer faults. lateness holds, for each
-// request, the time in ms from its limit to its answer, negative if the answer came before the limit; -1 also stands for a
+// request, the time in ms from its limit to its answer, negative if the answer came before the limit; -1 also means a
 // client that disconnected, and 0 for a missing answer. served is the number of requests that succeeded.
 func runWithFaults(t *testing.T, seed int64) (network *faultyNetwork, lateness []float64, served int) {
 	c := configtest.Example(t)
--- a/internal/node/shape_persistence_test.go
+++ b/internal/node/shape_persistence_test.go
@@ -39,7 +39,7 @@
 		t.Errorf("at the first start: %s", logged.String())
 	}
 	for i := range 300 {
-		n.Shapes.Recognise("SELECT a FROM t"+strings.Repeat("x", i), shape.Postgres, 0)
+		n.Shapes.Recognize("SELECT a FROM t"+strings.Repeat("x", i), shape.Postgres, 0)
 	}
 	for ; now < 1100; now += 10 { // the file is written during operation
 		q.RunDue(now)
--- a/internal/pg/session.go
+++ b/internal/pg/session.go
@@ -42,11 +42,11 @@
 	maxMarginShare     = 0.1     // share of a client's time limit that the answer margin may take
 )
 
-// Coordinator processes requests. Check validates a request and returns the error for the client. Take accepts a request; the
+// Coordinator processes requests. Check validates a request and returns the error for the client. Submit accepts a request; the
 // answer is one call to a method of its Client. Drop withdraws an accepted request, which then gets no answer.
 type Coordinator interface {
 	Check(r *coordinator.Request) error
-	Take(r *coordinator.Request)
+	Submit(r *coordinator.Request)
 	Drop(r *coordinator.Request)
 }
 
@@ -135,7 +135,7 @@
 	s.processInput()
 }
 
-// processInput handles the complete messages of the input. While a query is open, the messages behind it wait for its answer.
+// processInput handles the complete messages of the input. While a query is open, the messages after it wait for its answer.
 func (s *Session) processInput() {
 	// A query that is answered at once calls processInput again. Without this check, that call would handle the same message a
 	// second time.
@@ -175,7 +175,7 @@
 	}
 	s.input = append(s.input[:0], s.input[consumed:]...)
 	switch {
-	case len(s.input) > srv.MaxInputBytes+5: // a client that keeps sending behind an open query would exhaust the memory
+	case len(s.input) > srv.MaxInputBytes+5: // a client that keeps sending while a query is open would exhaust the memory
 		s.failSession("client-garbled", codeTooLarge, fmt.Sprintf("over %d bytes behind an open query", srv.MaxInputBytes))
 		return
 	case s.conn.Pending() > maxUnreadBytes:
@@ -198,7 +198,7 @@
 }
 
 // rejectQuery answers an invalid query with an error. If a client sends many invalid queries in a row, it delays the messages
-// behind them and finally closes the session.
+// after them and finally closes the session.
 func (s *Session) rejectQuery(code, text string) {
 	s.server.Faults.Add("client-fault", "code", code, "error", text)
 	if s.faultsInRow++; s.faultsInRow > maxFaults {
@@ -313,7 +313,7 @@
 	r.Deadline = s.server.Now() + timeLimit - math.Min(s.server.AnswerMargin, timeLimit*maxMarginShare)
 	r.Client, r.Protocol = s, "postgres"
 	s.request, s.faultsInRow = r, 0
-	s.server.Coordinator.Take(r)
+	s.server.Coordinator.Submit(r)
 }
 
 // clearRequest removes the open request from the session, which has been answered or withdrawn.
--- a/internal/queryfields/queryfields.go
+++ b/internal/queryfields/queryfields.go
@@ -1,4 +1,4 @@
-// Package queryfields parses the comment in front of a statement. Its fields describe the request: class, id, time limit, tenant,
+// Package queryfields parses the comment before a statement. Its fields describe the request: class, id, time limit, tenant,
 // and further optional ones.
 package queryfields
 
@@ -83,7 +83,7 @@
 	return ok && strings.HasPrefix(content, "verb=")
 }
 
-// splitComment splits a text into the content of its leading comment and the statement behind it.
+// splitComment splits a text into the content of its leading comment and the statement after it.
 func splitComment(text string) (content, statement string, ok bool) {
 	text = strings.TrimLeft(text, " \t\r\n")
 	if !strings.HasPrefix(text, "/*") {
--- a/internal/shape/bench_test.go
+++ b/internal/shape/bench_test.go
@@ -10,11 +10,11 @@
 // BenchmarkHit measures the recognition of a statement whose shape is cached.
 func BenchmarkHit(b *testing.B) {
 	catalog := NewCatalog(Options{MaxBytes: 1 << 20, HashSeed: 7})
-	catalog.Recognise(aggregateQuery, Postgres, 0)
+	catalog.Recognize(aggregateQuery, Postgres, 0)
 	b.ReportAllocs()
 	b.SetBytes(int64(len(aggregateQuery)))
 	for b.Loop() {
-		catalog.Recognise(aggregateQuery, Postgres, 0)
+		catalog.Recognize(aggregateQuery, Postgres, 0)
 	}
 }
 
@@ -28,7 +28,7 @@
 	b.ReportAllocs()
 	i := 0
 	for b.Loop() {
-		catalog.Recognise(texts[i%len(texts)], Postgres, 0)
+		catalog.Recognize(texts[i%len(texts)], Postgres, 0)
 		i++
 	}
 }
--- a/internal/shape/canonical.go
+++ b/internal/shape/canonical.go
@@ -1,4 +1,4 @@
-// Package shape recognises SQL statements: their kind, the table groups that they read and write, and the features that
+// Package shape recognizes SQL statements: their kind, the table groups that they read and write, and the features that
 // make them expensive. Statements that differ only in literals, white space, comments and the case of keywords have the
 // same shape. The package caches shapes and learns the cost of each.
 //
@@ -20,7 +20,7 @@
 	ClickHouse
 )
 
-// MaxStatementBytes is the longest statement that is tokenized. Longer ones are not recognised.
+// MaxStatementBytes is the longest statement that is tokenized. Longer ones are not recognized.
 const MaxStatementBytes = 1 << 20
 
 // maxBracketDepth limits nested brackets. It equals ClickHouse's max_parser_depth and is far beyond what statements need.
@@ -48,7 +48,7 @@
 func (e LexError) String() string { return lexErrorNames[e] }
 
 // A canonical text is the token stream of a statement without its literals. The shape ID is its hash, the cache compares it
-// byte for byte, and the parser sees nothing else, so two statements of one shape are always recognised alike. The first
+// byte for byte, and the parser sees nothing else, so two statements of one shape are always recognized alike. The first
 // byte is the dialect; the tokens follow, each preceded by a space:
 //
 //	word             as written; keywords, and in PostgreSQL all names, in lower case
--- a/internal/shape/catalog.go
+++ b/internal/shape/catalog.go
@@ -50,9 +50,9 @@
 	return &Catalog{hashSeed: o.HashSeed, cache: newCache(o.MaxBytes), maxBytes: o.MaxBytes, featurePriors: map[uint16]*prior{}}
 }
 
-// Recognise returns the shape of a statement. The result stays valid after later calls, and equal shapes give the same
+// Recognize returns the shape of a statement. The result stays valid after later calls, and equal shapes give the same
 // pointer while the shape is cached. owner identifies the tenant; it is taken modulo MaxOwners.
-func (c *Catalog) Recognise(text string, dialect Dialect, owner int) *Shape {
+func (c *Catalog) Recognize(text string, dialect Dialect, owner int) *Shape {
 	c.stats.Lookups++
 	canonical, lexErr := c.normalizer.normalize(text, dialect)
 	if lexErr != NoLexError {
--- a/internal/shape/cost_test.go
+++ b/internal/shape/cost_test.go
@@ -82,7 +82,7 @@
 	var learnedErrors, classErrors []float64
 	for i := range queries {
 		shape := next()
-		s := catalog.Recognise(lookupStatement(shape, i), Postgres, 0)
+		s := catalog.Recognize(lookupStatement(shape, i), Postgres, 0)
 		work := cost[shape] * math.Exp(r.NormFloat64()*withinSigma)
 		if i > queries/10 {
 			classErrors = append(classErrors, math.Abs(mean-work)/work)
@@ -113,15 +113,15 @@
 // prior differ, and its confidence is low.
 func TestShrinkage(t *testing.T) {
 	catalog := NewCatalog(Options{MaxBytes: 1 << 20})
-	recognise := func(i int) *Shape { return catalog.Recognise(lookupStatement(i, 0), Postgres, 0) }
-	if e := catalog.Estimate(recognise(0)); e.Work != 0 || e.Confidence != 0 || e.Usable() {
+	recognize := func(i int) *Shape { return catalog.Recognize(lookupStatement(i, 0), Postgres, 0) }
+	if e := catalog.Estimate(recognize(0)); e.Work != 0 || e.Confidence != 0 || e.Usable() {
 		t.Errorf("without any queries: %+v", e)
 	}
 	r := rand.New(rand.NewSource(2))
 	for i := range 2000 { // all shapes cost 100 ms
-		catalog.Learn(recognise(1+i%50), 0, 100*math.Exp(r.NormFloat64()*0.4), 8)
+		catalog.Learn(recognize(1+i%50), 0, 100*math.Exp(r.NormFloat64()*0.4), 8)
 	}
-	s := recognise(60)
+	s := recognize(60)
 	if e := catalog.Estimate(s); errorRatio(e.Work, 108) > 1.1 || e.Confidence != 0 || errorRatio(e.Mem, 8) > 1.05 {
 		t.Errorf("a new shape among similar ones: %+v", e)
 	}
@@ -132,10 +132,10 @@
 	catalog = NewCatalog(Options{MaxBytes: 1 << 20})
 	for i := range 2000 { // the costs of shapes differ widely
 		shape := i % 50
-		catalog.Learn(catalog.Recognise(lookupStatement(1+shape, 0), Postgres, 0), 0,
+		catalog.Learn(catalog.Recognize(lookupStatement(1+shape, 0), Postgres, 0), 0,
 			10*math.Exp(float64(shape)/10)*math.Exp(r.NormFloat64()*0.1), 8)
 	}
-	s = catalog.Recognise(lookupStatement(60, 0), Postgres, 0)
+	s = catalog.Recognize(lookupStatement(60, 0), Postgres, 0)
 	catalog.Learn(s, 0, 300, 8)
 	if e := catalog.Estimate(s); errorRatio(e.Work, 300) > 1.6 || !e.Usable() {
 		t.Errorf("one query where shapes differ: %+v", e)
@@ -145,7 +145,7 @@
 // The errors of request estimates and of learned estimates are measured on the same queries, and invalid costs are ignored.
 func TestEstimateErrorsAreMeasured(t *testing.T) {
 	catalog := NewCatalog(Options{MaxBytes: 1 << 20})
-	s := catalog.Recognise(aggregateQuery, Postgres, 0)
+	s := catalog.Recognize(aggregateQuery, Postgres, 0)
 	for range 100 {
 		catalog.Learn(s, 200, 100, 8)
 	}
@@ -163,7 +163,7 @@
 func TestFeaturePriorsAreBounded(t *testing.T) {
 	catalog := NewCatalog(Options{MaxBytes: 1 << 16})
 	for i := range 5000 {
-		catalog.Learn(catalog.Recognise(floodStatement(i)+fmt.Sprintf(" ORDER BY a%d", i), Postgres, 0), 0, 5, 5)
+		catalog.Learn(catalog.Recognize(floodStatement(i)+fmt.Sprintf(" ORDER BY a%d", i), Postgres, 0), 0, 5, 5)
 	}
 	if len(catalog.featurePriors) != 1 {
 		t.Errorf("%d priors for statements with the same features", len(catalog.featurePriors))
--- a/internal/shape/dump_test.go
+++ b/internal/shape/dump_test.go
@@ -16,7 +16,7 @@
 func filledCatalog() *Catalog {
 	catalog := NewCatalog(Options{MaxBytes: 1 << 18, HashSeed: 5})
 	for i, statement := range mixedStatements() {
-		s := catalog.Recognise(statement, Postgres, i%5)
+		s := catalog.Recognize(statement, Postgres, i%5)
 		for j := range 1 + i%7 {
 			catalog.Learn(s, 0, float64(10+i*j), float64(i))
 		}
@@ -80,6 +80,6 @@
 		if n, err := catalog.Load(payload); err != nil && (n > 0 || catalog.cache.count > 0) {
 			t.Errorf("%d shapes and %v", n, err)
 		}
-		catalog.Recognise(aggregateQuery, Postgres, 0)
+		catalog.Recognize(aggregateQuery, Postgres, 0)
 	})
 }
--- a/internal/shape/info.go
+++ b/internal/shape/info.go
@@ -15,7 +15,7 @@
 	Control   Kind = iota // neither reads nor writes tables: SET, BEGIN, SHOW, EXPLAIN
 	Read                  // reads rows
 	Aggregate             // reads rows and aggregates them
-	Unknown               // not recognised
+	Unknown               // not recognized
 	Write                 // changes tables or the schema, or locks rows
 )
 
--- a/internal/shape/shape_test.go
+++ b/internal/shape/shape_test.go
@@ -12,14 +12,14 @@
 	"pgregory.net/rapid"
 )
 
-// labelledStatement is a statement of testdata/mix.txt with the label that it must get.
-type labelledStatement struct {
+// labeledStatement is a statement of testdata/mix.txt with the label that it must get.
+type labeledStatement struct {
 	want, text string
 	dialect    Dialect
 }
 
-// labelledStatements reads testdata/mix.txt.
-func labelledStatements(t testing.TB) (all []labelledStatement) {
+// labeledStatements reads testdata/mix.txt.
+func labeledStatements(t testing.TB) (all []labeledStatement) {
 	text, err := os.ReadFile("testdata/mix.txt")
 	if err != nil {
 		t.Fatal(err)
@@ -32,11 +32,11 @@
 		if !ok {
 			t.Fatalf("%s: no statement", line)
 		}
-		labelled := labelledStatement{want: label[2:], text: strings.ReplaceAll(statement, `\n`, "\n")}
+		labeled := labeledStatement{want: label[2:], text: strings.ReplaceAll(statement, `\n`, "\n")}
 		if label[0] == 'c' {
-			labelled.dialect = ClickHouse
+			labeled.dialect = ClickHouse
 		}
-		all = append(all, labelled)
+		all = append(all, labeled)
 	}
 	return all
 }
@@ -119,24 +119,24 @@
 	return b.String()
 }
 
-// Every labelled statement gets its label, and keeps its shape when white space, comments, case and literals change. A write
-// recognised as a read would be repeated.
+// Every labeled statement gets its label, and keeps its shape when white space, comments, case and literals change. A write
+// recognized as a read would be repeated.
 func TestStatementLabels(t *testing.T) {
 	catalog, r, n := NewCatalog(Options{MaxBytes: 1 << 20, HashSeed: 3}), rand.New(rand.NewSource(1)), 0
-	for _, labelled := range labelledStatements(t) {
-		s := catalog.Recognise(labelled.text, labelled.dialect, 0)
-		if got := s.label(); got != labelled.want {
-			t.Errorf("%s\n got %s\nwant %s", labelled.text, got, labelled.want)
+	for _, labeled := range labeledStatements(t) {
+		s := catalog.Recognize(labeled.text, labeled.dialect, 0)
+		if got := s.label(); got != labeled.want {
+			t.Errorf("%s\n got %s\nwant %s", labeled.text, got, labeled.want)
 		}
 		n++
-		if s.Reason == Malformed || s.Reason == DoBody || !canRespace(labelled.text) ||
-			strings.Contains(labelled.text, "FORMAT") {
+		if s.Reason == Malformed || s.Reason == DoBody || !canRespace(labeled.text) ||
+			strings.Contains(labeled.text, "FORMAT") {
 			continue
 		}
 		for range 3 {
-			other := rejoin(r, splitTokens(labelled.text), labelled.dialect, true)
-			if o := catalog.Recognise(other, labelled.dialect, 0); o.ID != s.ID || o.label() != labelled.want {
-				t.Errorf("%s\n%s\n got %s %s, want %s", labelled.text, other, o.label(), o.Text(), s.Text())
+			other := rejoin(r, splitTokens(labeled.text), labeled.dialect, true)
+			if o := catalog.Recognize(other, labeled.dialect, 0); o.ID != s.ID || o.label() != labeled.want {
+				t.Errorf("%s\n%s\n got %s %s, want %s", labeled.text, other, o.label(), o.Text(), s.Text())
 			}
 			n++
 		}
@@ -159,7 +159,7 @@
 	for _, line := range strings.Split(strings.TrimSpace(string(text)), "\n") {
 		fields := strings.SplitN(line, " ", 3)
 		statement := strings.NewReplacer(`\\`, `\`, `\n`, "\n").Replace(fields[2])
-		got := catalog.Recognise(statement, Postgres, 0)
+		got := catalog.Recognize(statement, Postgres, 0)
 		group := got.TableGroup
 		if group == "" {
 			group = "-"
@@ -168,7 +168,7 @@
 			t.Errorf("%s: group %s, verb %s", line, group, got.Verb)
 		}
 		for i := range statement { // truncated statements must not panic
-			catalog.Recognise(statement[:i], Postgres, 0)
+			catalog.Recognize(statement[:i], Postgres, 0)
 		}
 	}
 }
@@ -177,7 +177,7 @@
 // their lengths fall into the same bucket, whose bounds are powers of 8.
 func TestDistinctShapes(t *testing.T) {
 	catalog := NewCatalog(Options{MaxBytes: 1 << 20})
-	id := func(s string) uint64 { return catalog.Recognise(s, Postgres, 0).ID }
+	id := func(s string) uint64 { return catalog.Recognize(s, Postgres, 0).ID }
 	list := func(n int, row string) string { return strings.TrimSuffix(strings.Repeat(row+",", n), ",") }
 	seen := map[uint64]string{}
 	for _, s := range []string{"SELECT a FROM b", "SELECT a FROM c", "SELECT c FROM b", "SELECT a, a FROM b",
@@ -203,7 +203,7 @@
 		}
 	}
 	for n, want := range map[int]uint8{1: 0, 2: 1, 8: 1, 9: 2, 64: 2, 65: 3, 5000: 5} {
-		if s := catalog.Recognise("SELECT 1 FROM t WHERE a IN ("+list(n, "1")+")", Postgres, 0); s.Features.ListBucket != want {
+		if s := catalog.Recognize("SELECT 1 FROM t WHERE a IN ("+list(n, "1")+")", Postgres, 0); s.Features.ListBucket != want {
 			t.Errorf("a list of %d: bucket %d, want %d", n, s.Features.ListBucket, want)
 		}
 	}
@@ -243,19 +243,19 @@
 		{"nothing", "", Unknown, Malformed},
 		{"space", " \n\t", Unknown, Malformed},
 	} {
-		s := catalog.Recognise(c.text, Postgres, 0)
+		s := catalog.Recognize(c.text, Postgres, 0)
 		if s.Kind != c.kind || s.Reason != c.reason {
 			t.Errorf("%s: %v %v", c.name, s.Kind, s.Reason)
 		}
 	}
-	if got := catalog.Recognise("SELECT a FROM sales_4.t WHERE b = 'open", Postgres, 0); got.TableGroup != "4" ||
+	if got := catalog.Recognize("SELECT a FROM sales_4.t WHERE b = 'open", Postgres, 0); got.TableGroup != "4" ||
 		got.Verb != "SELECT" {
 		t.Errorf("the group of an unterminated statement is %q, its verb %q", got.TableGroup, got.Verb)
 	}
 	if s := catalog.Stats(); s.Bytes > 1<<20 || len(catalog.normalizer.buf) > 4*MaxStatementBytes {
 		t.Errorf("%d bytes cached, a buffer of %d", s.Bytes, len(catalog.normalizer.buf))
 	}
-	if catalog.Recognise("SELECT 1", Postgres, 0); len(catalog.normalizer.buf) > maxKeptBufferBytes {
+	if catalog.Recognize("SELECT 1", Postgres, 0); len(catalog.normalizer.buf) > maxKeptBufferBytes {
 		t.Errorf("a buffer of %d bytes is kept", len(catalog.normalizer.buf))
 	}
 }
@@ -265,8 +265,8 @@
 	catalog := NewCatalog(Options{MaxBytes: 1 << 20})
 	for _, s := range []string{aggregateQuery, "SELECT a FROM sales_3.t WHERE b IN (1,2,3) AND c = NULL",
 		"INSERT INTO sales_3.t VALUES (1,2),(3,4)"} {
-		catalog.Recognise(s, Postgres, 0)
-		if n := testing.AllocsPerRun(100, func() { catalog.Recognise(s, Postgres, 0) }); n > 0 {
+		catalog.Recognize(s, Postgres, 0)
+		if n := testing.AllocsPerRun(100, func() { catalog.Recognize(s, Postgres, 0) }); n > 0 {
 			t.Errorf("%s: %v allocations", s, n)
 		}
 	}
@@ -329,7 +329,7 @@
 func catalogLookup(catalog *Catalog) func(string, int) bool {
 	return func(text string, owner int) bool {
 		before := catalog.stats.Hits
-		catalog.Recognise(text, Postgres, owner)
+		catalog.Recognize(text, Postgres, owner)
 		return catalog.stats.Hits > before
 	}
 }
@@ -389,8 +389,8 @@
 		for range rapid.IntRange(1, 400).Draw(t, "steps") {
 			i := rapid.IntRange(0, 300).Draw(t, "shape")
 			text := "SELECT a" + fmt.Sprint(i) + strings.Repeat(", b", i*rapid.IntRange(0, 4).Draw(t, "long"))
-			s := catalog.Recognise(text, Postgres, rapid.IntRange(0, 20).Draw(t, "owner"))
-			if again := catalog.Recognise(text, Postgres, 0); s.cached && again != s {
+			s := catalog.Recognize(text, Postgres, rapid.IntRange(0, 20).Draw(t, "owner"))
+			if again := catalog.Recognize(text, Postgres, 0); s.cached && again != s {
 				t.Fatal("a cached shape is not found")
 			}
 			if catalog.cache.usedBytes > catalog.cache.maxBytes {
@@ -412,9 +412,9 @@
 
 // For any text the parser terminates, and leading white space changes neither the shape nor its label. An unknown statement is
 // never accepted for a read class.
-func FuzzRecognise(f *testing.F) {
-	for _, labelled := range labelledStatements(f) {
-		f.Add(labelled.text, labelled.dialect == ClickHouse)
+func FuzzRecognize(f *testing.F) {
+	for _, labeled := range labeledStatements(f) {
+		f.Add(labeled.text, labeled.dialect == ClickHouse)
 	}
 	catalog := NewCatalog(Options{MaxBytes: 1 << 16})
 	f.Fuzz(func(t *testing.T, text string, ch bool) {
@@ -423,8 +423,8 @@
 			dialect = ClickHouse
 		}
 		canonical, lexErr := new(normalizer).normalize(text, dialect)
-		one := catalog.Recognise(text, dialect, 0)
-		two := catalog.Recognise(" "+text, dialect, 1)
+		one := catalog.Recognize(text, dialect, 0)
+		two := catalog.Recognize(" "+text, dialect, 1)
 		if one.ID != two.ID || one.label() != two.label() || one.TableGroup != two.TableGroup {
 			t.Errorf("%q: %s, then %s", text, one.label(), two.label())
 		}
--- a/internal/standin/workergroup.go
+++ b/internal/standin/workergroup.go
@@ -23,7 +23,7 @@
 type Answer struct {
 	RunTime  time.Duration   // how long the query runs
 	Until    <-chan struct{} // if not nil, the query runs until this is closed, and RunTime is ignored
-	Status   int             // 0 stands for 200 with a result of one row
+	Status   int             // 0 means 200 with a result of one row
 	NoEffect bool            // the answer has the header X-No-Effect
 }
 
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -54,7 +54,7 @@
 	case ConnRefused, Unreachable:
 		return choice.ConnectFailed
 	case NoAnswer, QueryLost:
-		// The query may have been dropped only a moment ago, or may still be on its way to the engine. As choice.Error it
+		// The query may have been dropped only a moment ago, or may still be in transit to the engine. As choice.Error it
 		// would count as proven to have ended.
 		return choice.Timeout
 	case Cancelled, Malformed, IdleTimeout, ClosedLocally: // a query whose answers are malformed is deleted
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// raw returns the text of a field; "-" stands for an empty one.
+// raw returns the text of a field; "-" means an empty one.
 func (f *lineFields) raw(i int, field string) string {
 	if i >= len(f.values) {
 		f.fail(i, field, "missing")
--- a/internal/workergroup/attempt.go
+++ b/internal/workergroup/attempt.go
@@ -18,27 +18,27 @@
 // attempt is one run of a query on a worker group, from its POST to its end. It may use several connections in turn.
 type attempt struct {
 	coordinator.Attempt
-	fleet          *Fleet
-	group          *group
-	query          *query
-	startedAt      float64 // when the attempt was started, before its POST had a connection
-	postCall       *call
-	postedAt       float64 // when the POST was written; 0: not written
-	tooLateToPost  bool    // the attempt had expired when its connection became available, so the POST was not written
-	arrived        bool    // an answer has shown that the worker group received the query
-	runningAt      float64 // latest time at which the query is known to have run; 0 after a gap in the chain of answered calls
-	invalidAnswers int     // consecutive answers that could not be used
-	currentCall    *call   // the keep-alive call in progress
-	deleteCall     *call   // the DELETE in progress
-	deleteTries    int     // DELETEs that brought no proof of the end
-	cancelled      bool
-	cancelReason   transport.EndReason // why the attempt was cancelled
-	endReported    bool                // since the cancellation the worker group has reported that the query has ended
-	finished       bool
-	outcome        coordinator.Outcome
-	waitTimer      deadline.Entry // fires at WaitUntil, if the attempt has not ended by then
-	retryTimer     deadline.Entry // fires for the next poll, page request or DELETE
-	dropTimer      deadline.Entry // fires when the worker group must have dropped the query
+	fleet            *Fleet
+	group            *group
+	query            *query
+	startedAt        float64 // when the attempt was started, before a connection for its POST was available
+	postCall         *call
+	postedAt         float64 // when the POST was written; 0: not written
+	tooLateToPost    bool    // the attempt had expired when its connection became available, so the POST was not written
+	postArrived      bool    // a response has shown that the worker group received the query
+	runningAt        float64 // latest time at which the query is known to have run; 0 after a failed call or an unusable response
+	invalidResponses int     // consecutive invalid responses and failed page requests
+	currentCall      *call   // the keep-alive call in progress
+	deleteCall       *call   // the DELETE in progress
+	deleteTries      int     // failed DELETEs, counted up to 8; they lengthen the pause before the next one
+	cancelled        bool
+	cancelReason     transport.EndReason // why the attempt was cancelled
+	endReported      bool                // since the cancellation, the worker group has reported that the query has ended
+	finished         bool
+	outcome          coordinator.Outcome
+	waitTimer        deadline.Entry // fires at WaitUntil, if the attempt has not ended by then
+	retryTimer       deadline.Entry // fires for the next poll, page request or DELETE
+	dropTimer        deadline.Entry // fires when the worker group must have dropped the query
 }
 
 // noticeKinds maps the values of X-Tell to the kinds of progress notices.
@@ -76,21 +76,21 @@
 	a.startKeepAliveCall(a.postCall)
 }
 
-// startCall starts a call of the attempt. Once the POST was written the query may be running, so calls then wait for a connection
-// even if the worker group refuses one.
+// startCall starts a call of the attempt. Once the POST was written, the query may be running, so calls then wait for a
+// connection even if the worker group refuses one.
 func (a *attempt) startCall(c *call) {
 	a.currentCall, c.waitsForConn = c, a.postedAt > 0
 	a.group.start(c)
 }
 
-// startKeepAliveCall starts a call that keeps the query alive. Its answer is used even if it arrives late.
+// startKeepAliveCall starts a call that keeps the query alive. Its response is used even if it arrives late.
 func (a *attempt) startKeepAliveCall(c *call) {
-	c.keepsAlive, c.lateAnswer = a.query, func(r *reply) { a.acceptLateAnswer(c, r) }
+	c.keepsAlive, c.onLateResponse = a.query, func(r *response) { a.acceptLateResponse(c, r) }
 	a.startCall(c)
 }
 
-// buildPost returns the bytes of the POST, or nil if the attempt has expired. The budget that it states is the time left when the
-// POST is written, not when the attempt was started.
+// buildPost returns the bytes of the POST, or nil if the attempt has expired. Its X-Budget header states the time left when
+// the POST is written, not when the attempt was started.
 func (a *attempt) buildPost() []byte {
 	if a.tooLateToPost = a.Expired(a.fleet.Now()); a.tooLateToPost {
 		return nil
@@ -116,10 +116,10 @@
 }
 
 // postDone handles the end of the POST call. Only a connection that was never established proves that nothing ran.
-func (a *attempt) postDone(r *reply, reason transport.EndReason) {
+func (a *attempt) postDone(r *response, reason transport.EndReason) {
 	switch {
 	case r != nil:
-		a.processAnswer(a.postCall, r)
+		a.processResponse(a.postCall, r)
 	case a.postedAt > 0:
 		logs.Trace("post-broke", a.ID, "engine", a.Engine, "wire", a.postCall.connNumber, "end", reason)
 		a.pollAfter(0)
@@ -136,17 +136,17 @@
 func (a *attempt) poll() {
 	c := &call{timeout: pollTimeout}
 	c.build = func() []byte {
-		c.writtenAfterPost = a.postSettled()
-		logs.Trace("ask", a.ID, "engine", a.Engine, "fixed", c.writtenAfterPost)
+		c.writtenAfterPostSettled = a.postSettled()
+		logs.Trace("ask", a.ID, "engine", a.Engine, "fixed", c.writtenAfterPostSettled)
 		return a.buildGet(0)
 	}
-	c.done = func(r *reply, reason transport.EndReason) {
+	c.done = func(r *response, reason transport.EndReason) {
 		if r == nil {
 			logs.Trace("ask-broke", a.ID, "engine", a.Engine, "wire", c.connNumber, "end", reason)
 		}
 		switch {
 		case r != nil:
-			a.processAnswer(c, r)
+			a.processResponse(c, r)
 		case reason == transport.ConnRefused && a.group.replaced():
 			a.finish(transport.ProcessDied)
 		case reason == transport.Unreachable || reason == transport.NoAnswer:
@@ -167,15 +167,15 @@
 	a.scheduleDropCheck()
 }
 
-// acceptLateAnswer handles an answer that arrived after its call had timed out or after the attempt was cancelled.
-func (a *attempt) acceptLateAnswer(c *call, r *reply) {
+// acceptLateResponse handles a response that arrived after its call had timed out or after the attempt was cancelled.
+func (a *attempt) acceptLateResponse(c *call, r *response) {
 	logs.Trace("late", a.ID, "engine", a.Engine, "wire", c.connNumber, "status", r.status, "after", a.fleet.Now()-c.writtenAt,
-		"own", c == a.postCall, "fixed", c.writtenAfterPost)
+		"own", c == a.postCall, "fixed", c.writtenAfterPostSettled)
 	final := r.endsWithoutResult() || r.hasResult() && r.pageCount == 1
 	switch {
 	case a.finished:
 	case a.cancelled:
-		a.arrived = a.arrived || r.status == 202
+		a.postArrived = a.postArrived || r.status == 202
 		if a.endReported = a.endReported || final && a.endsAttempt(c, r); a.endReported &&
 			(a.deleteCall == nil || a.deleteCall.isWaiting()) {
 			// A DELETE that was written may arrive after the next POST of the same query and end it. So the attempt ends only
@@ -185,18 +185,18 @@
 		}
 		a.callSettled()
 	case r.status == 202:
-		a.arrived = true
+		a.postArrived = true
 	case (r.endsWithoutResult() || r.hasResult()) && a.endsAttempt(c, r) && a.outcome.Result == nil:
 		if a.currentCall != nil {
 			a.currentCall.abandon()
 		}
 		a.fleet.Deadlines.Cancel(&a.retryTimer)
-		a.processAnswer(c, r)
+		a.processResponse(c, r)
 	}
 }
 
 // callSettled is called when a call that keeps the query alive has arrived or never will. A cancelled attempt then sends another
-// DELETE, since the answer to one that was written earlier proves nothing.
+// DELETE, since the response to one that was written earlier proves nothing.
 func (a *attempt) callSettled() {
 	if !a.cancelled || a.finished {
 		return
@@ -207,8 +207,8 @@
 	}
 }
 
-// processAnswer handles the answer to the POST or to a poll.
-func (a *attempt) processAnswer(c *call, r *reply) {
+// processResponse handles the response to the POST or to a poll.
+func (a *attempt) processResponse(c *call, r *response) {
 	logs.Trace("news", a.ID, "engine", a.Engine, "wire", c.connNumber, "status", r.status, "pages", r.pageCount,
 		"own", c == a.postCall)
 	if r.report != (choice.Report{}) {
@@ -216,10 +216,10 @@
 	}
 	switch {
 	case r.status == 202:
-		a.arrived, a.invalidAnswers = true, 0
+		a.postArrived, a.invalidResponses = true, 0
 		kind, known := noticeKinds[r.notice]
-		// A worker group also delivers stored progress notices of a query that it has dropped in the meantime, so only an
-		// answer without a notice shows that the query is running.
+		// A worker group also delivers stored progress notices of a query that it has dropped in the meantime, so only a
+		// response without a notice shows that the query is running.
 		if r.notice == "" {
 			a.runningAt = c.writtenAt
 		}
@@ -228,7 +228,7 @@
 			a.fleet.Listener.NoticeReceived(a.ID, a.Engine, a.Number, kind, r.level)
 		}
 	case !a.endsAttempt(c, r) && (r.hasResult() || r.endsWithoutResult()):
-		// The answer may describe a time before the POST arrived, or a previous attempt.
+		// The response may describe a time before the POST arrived, or a previous attempt.
 		a.pollAfter(retryPause)
 	case r.hasResult():
 		a.outcome.Duration = a.fleet.Now() - a.startedAt // fetching further pages says nothing about the worker group's speed
@@ -247,11 +247,12 @@
 	case r.endsWithoutResult():
 		a.finish(transport.Failed)
 	default:
-		a.pollAfterInvalid("result", r)
+		a.pollAfterInvalidResponse("result", r)
 	}
 }
 
-// lastKnownRunning is the latest time at which the query is known to have run, according to calls answered without a gap.
+// lastKnownRunning returns the latest time at which the query is known to have run, when a response to c is processed. For a
+// poll this is 0 after a failed call or an unusable response, until another response shows that the query is running.
 func (a *attempt) lastKnownRunning(c *call) float64 {
 	if c == a.postCall {
 		return c.writtenAt
@@ -259,12 +260,12 @@
 	return a.runningAt
 }
 
-// pollAfterInvalid polls again after an invalid answer: the query has run, and its worker group will repeat the answer. A new
-// attempt instead would run the query twice, and possibly while this attempt is still running.
-func (a *attempt) pollAfterInvalid(what string, r *reply) {
+// pollAfterInvalidResponse polls again after an invalid response: the query has run, and its worker group will repeat the
+// response. A new attempt instead would run the query twice, and possibly while this attempt is still running.
+func (a *attempt) pollAfterInvalidResponse(what string, r *response) {
 	a.fleet.Faults.Add("engine-spoilt", "engine", a.Engine, "what", what, "status", r.status, "bytes", len(r.body))
-	a.group.closeAnswering()
-	if a.invalidAnswers++; a.invalidAnswers > maxInvalidAnswers {
+	a.group.closeRespondingConn()
+	if a.invalidResponses++; a.invalidResponses > maxInvalidResponses {
 		a.cancel(transport.Malformed)
 		return
 	}
@@ -272,26 +273,26 @@
 }
 
 // acceptPage stores a valid page and requests the next one. The attempt lasts until the last page is read. Nothing is sent to the
-// client before all pages are here, so that a query whose result can't be completed may still be tried elsewhere.
-func (a *attempt) acceptPage(page int, r *reply) {
+// client before all pages have been received, so that a query whose result can't be completed may still be tried elsewhere.
+func (a *attempt) acceptPage(page int, r *response) {
 	a.outcome.Result.Pages[page] = r.body
-	a.arrived, a.invalidAnswers = true, 0
+	a.postArrived, a.invalidResponses = true, 0
 	if page+1 < len(a.outcome.Result.Pages) {
 		a.fetchPage(page + 1)
 		return
 	}
 	if a.outcome.Result.Size() > maxResultBytes {
-		a.pollAfterInvalid("size", r)
+		a.pollAfterInvalidResponse("size", r)
 		return
 	}
 	a.finish(transport.Served)
 }
 
-// fetchPage requests a page after the first and tries again after a broken connection or an invalid answer, until there were too
-// many in a row.
+// fetchPage requests a page after the first and tries again after a broken connection or an invalid response. After more than
+// maxInvalidResponses failures in a row, it cancels the query.
 func (a *attempt) fetchPage(page int) {
 	retry := func(reason transport.EndReason) {
-		if a.invalidAnswers++; a.invalidAnswers > maxInvalidAnswers {
+		if a.invalidResponses++; a.invalidResponses > maxInvalidResponses {
 			logs.Trace("page-given-up", a.ID, "engine", a.Engine, "end", reason)
 			a.cancel(transport.QueryLost)
 			return
@@ -302,7 +303,7 @@
 		a.scheduleDropCheck()
 	}
 	a.startKeepAliveCall(&call{build: func() []byte { return a.buildGet(page) }, timeout: callTimeout,
-		done: func(r *reply, reason transport.EndReason) {
+		done: func(r *response, reason transport.EndReason) {
 			logs.Trace("page", a.ID, "engine", a.Engine, "page", page, "answered", r != nil, "end", reason)
 			switch {
 			case reason == transport.ConnRefused && a.group.replaced():
@@ -311,11 +312,11 @@
 				retry(transport.ConnReset)
 			case r.status == 200 && r.pageNumber == page && validRows(r.body, false):
 				a.acceptPage(page, r)
-			case r.endsWithoutResult(): // the page is lost: the query was not polled for too long, or the process died
+			case r.endsWithoutResult(): // the page is lost: the query was not polled for too long, or the process has died
 				a.cancel(transport.QueryLost)
 			default:
 				a.fleet.Faults.Add("engine-spoilt", "engine", a.Engine, "what", "page", "status", r.status, "bytes", len(r.body))
-				a.group.closeAnswering()
+				a.group.closeRespondingConn()
 				retry(transport.Malformed)
 			}
 		}})
@@ -340,9 +341,9 @@
 	return true
 }
 
-// cancel deletes the query on the worker group. Once the end of the attempt is proven, the attempt finishes with the reason. A
-// request may have only one attempt in flight, so its next attempt has to wait until then, and so have the next requests of its
-// order key.
+// cancel deletes the query on the worker group. Once the end of the attempt is proven, the attempt finishes with the given
+// reason. A request may have only one attempt in flight, so its next attempt has to wait until then, as do the next requests of
+// its order key.
 func (a *attempt) cancel(reason transport.EndReason) {
 	if a.cancelled || a.finished {
 		return
@@ -353,9 +354,9 @@
 		return
 	}
 	if c := a.currentCall; c != nil && !c.group.removeWaiting(c) && c.keepsAlive != nil {
-		c.done = func(r *reply, _ transport.EndReason) { // the call in progress may still report that the query has ended
+		c.done = func(r *response, _ transport.EndReason) { // the response may still report that the query has ended
 			if r != nil {
-				a.acceptLateAnswer(c, r)
+				a.acceptLateResponse(c, r)
 			}
 		}
 	}
@@ -366,40 +367,41 @@
 		}
 	}
 	a.fleet.Deadlines.Cancel(&a.retryTimer)
-	if at := a.postedAt + deleteDelay; at > a.fleet.Now() {
-		a.fleet.Deadlines.Set(&a.retryTimer, at)
+	if deleteAt := a.postedAt + deleteDelay; deleteAt > a.fleet.Now() {
+		a.fleet.Deadlines.Set(&a.retryTimer, deleteAt)
 		return
 	}
 	a.retryTimer.Do()
 }
 
-// sendDelete asks the worker group to delete the query. The answer to a DELETE that was written before the POST was settled
-// proves nothing, as the POST may arrive afterwards.
+// sendDelete asks the worker group to delete the query. The response to a DELETE that was written before the POST was
+// settled proves nothing, as the POST may arrive after the DELETE.
 func (a *attempt) sendDelete() {
 	c := &call{timeout: callTimeout, waitsForConn: true}
 	c.build = func() []byte {
-		c.writtenAfterPost = a.postSettled()
+		c.writtenAfterPostSettled = a.postSettled()
 		return buildRequest("DELETE", "/obj/"+a.ID, a.group.Addr, "", nil)
 	}
-	c.done = func(r *reply, reason transport.EndReason) {
+	c.done = func(r *response, reason transport.EndReason) {
 		a.deleteCall = nil
 		if r == nil && c.writtenAt > 0 {
-			a.query.deleteUnanswered()
+			a.query.trackStrayDelete()
 		}
 		status := 0
 		if r != nil {
 			status = r.status
 		}
 		logs.Trace("deleted", a.ID, "engine", a.Engine, "wire", c.connNumber, "status", status, "end", reason,
-			"fixed", c.writtenAfterPost)
+			"fixed", c.writtenAfterPostSettled)
 		switch {
 		case a.finished:
-		case a.endReported, status == 204 && c.writtenAfterPost, reason == transport.ConnRefused && a.group.replaced():
+		case a.endReported, status == 204 && c.writtenAfterPostSettled, reason == transport.ConnRefused && a.group.replaced():
 			a.finish(a.cancelReason)
 		case status == 204 && !a.postSettled(): // another DELETE is sent once the POST is settled
 		case status == 204:
 			a.fleet.Deadlines.Set(&a.retryTimer, a.fleet.Now())
-		default: // without a growing pause, a worker group that stays silent would be sent a DELETE many times a second
+		default:
+			// Without a growing pause, a worker group that stays silent would be sent a DELETE many times a second.
 			a.deleteTries = min(a.deleteTries+1, 8)
 			a.fleet.Deadlines.Set(&a.retryTimer,
 				a.fleet.Now()+min(reconnectPause*float64(int(1)<<a.deleteTries)/2, unpolledTimeout))
@@ -415,15 +417,15 @@
 		return
 	}
 	a.finished = true
-	if k := (attemptKey{a.ID, a.Number}); a.fleet.attempts[k] == a {
-		delete(a.fleet.attempts, k)
+	if key := (attemptKey{a.ID, a.Number}); a.fleet.attempts[key] == a {
+		delete(a.fleet.attempts, key)
 		a.group.attemptCount--
 		a.query.attempts = slices.DeleteFunc(a.query.attempts, func(x *attempt) bool { return x == a })
 		a.query.removeIfUnused()
 		defer a.fleet.removeIfUnused(a.group)
 	}
-	for _, t := range []*deadline.Entry{&a.waitTimer, &a.retryTimer, &a.dropTimer} {
-		a.fleet.Deadlines.Cancel(t)
+	for _, timer := range []*deadline.Entry{&a.waitTimer, &a.retryTimer, &a.dropTimer} {
+		a.fleet.Deadlines.Cancel(timer)
 	}
 	for _, c := range []*call{a.currentCall, a.deleteCall} {
 		if c != nil {
--- a/internal/workergroup/end_proof.go
+++ b/internal/workergroup/end_proof.go
@@ -12,46 +12,46 @@
 // one attempt in flight, and the requests of one order key run one at a time. AttemptListener.AttemptEnded must therefore not
 // be called for an attempt whose POST was written until one of the proofs below holds.
 //
-// First the POST must be settled: it has arrived at the worker group, or it never will. It is settled once one of these holds:
-//   - The POST was answered, or a poll for the query's status found the query running.
+// First, the POST must be settled: it has arrived at the worker group, or it never will. It is settled once one of these holds:
+//   - The worker group responded to the POST, or a poll for the query's status found the query running.
 //   - The other side ended the POST's connection: it will never read what it had not read by then. If the connection had been
 //     silent before, data delayed in the network may still arrive after that end, for as long as a connection may take to be
-//     established (connectTimeoutMs).
+//     established (setting connectTimeoutMs).
 //   - The coordinator aborted the POST's connection, and any segment that the network can still hold has exceeded its maximum
 //     lifetime.
 //   - According to the discovery service, another process listens at the address.
 //
 // Then one of these proves that the attempt has ended:
-//   - Answered: the POST was answered with a final answer, or a poll written after the POST was settled was. (The answer to an
-//     earlier poll may describe a time before the POST, or a previous attempt; only a complete result for the first attempt of a
-//     request can't.) Final answers are a complete result whose last page has been read, an error, and a rejection without
-//     effect. "Unknown query" or a lost page may mean that the query was dropped only just now: the query is then deleted, so
-//     that both sides consider it ended from the same moment.
-//   - Deleted: a DELETE written after the POST was settled was answered with 204.
+//   - Final response: the response to the POST, or to a poll written after the POST was settled, was final for the query. (The
+//     response to an earlier poll may describe a time before the POST, or a previous attempt; only a complete result for the
+//     first attempt of a request can't.) The final responses are a complete result whose last page has been read, an error, and
+//     a rejection without effect. "Unknown query" or a lost page may mean that the query was dropped only just now: the query is
+//     then deleted, so that both sides consider it ended from the same moment.
+//   - Deleted: the response to a DELETE written after the POST was settled has status 204.
 //   - Replaced: another process listens at the address.
 //   - Dropped: no call that keeps the query alive can still arrive, the last one was settled at least unpolledTimeout
-//     ago, and the worker group has answered a call written after that time had passed, or refuses connections. A
-//     worker group that hangs drops nothing, and from outside it can't be told from one that is cut off from the
-//     network.
+//     ago, and the worker group has responded to a call written after that time had passed, or refuses connections. An
+//     unresponsive worker group drops nothing, and from outside it can't be distinguished from one that is cut off from
+//     the network.
 //
 // Nothing else is proof: not silence, not a refused connection (a draining worker group refuses connections and goes on running
-// its queries), not a reset, not a list from which the worker group has disappeared, not an unreadable answer. Until there is
-// proof, the attempt keeps blocking its order key; its client is answered in time regardless. A worker group that stays silent
-// forever frees the key in the end, as its connections are aborted after maxConnSilence.
+// its queries), not a reset, not a list from which the worker group has disappeared, not an unreadable response. Until there
+// is proof, the attempt keeps blocking its order key; its client is answered in time regardless. Even if a worker group stays
+// silent forever, the key is freed in the end, as the connections to it are aborted after maxConnSilence.
 
-// query tracks what a worker group may hold of one request: the calls that keep the query alive, over all attempts of the request
-// on that worker group.
+// query tracks the query of one request on one worker group: the calls that keep it alive there, over all attempts of the
+// request on that worker group.
 type query struct {
 	group          *group
 	id             string
 	unsettledCalls int            // keep-alive calls that were written and may still arrive
-	strayDelete    deadline.Entry // scheduled while an unanswered DELETE may still arrive
+	strayDelete    deadline.Entry // scheduled while a DELETE without a response may still arrive
 	settledAt      float64        // when the latest keep-alive call was settled
 	writtenAt      float64        // when the latest keep-alive call was written
 	attempts       []*attempt
 }
 
-// queryFor returns the query of a request id, and creates it if there is none.
+// queryFor returns the query with the given request id, and creates it if there is none.
 func (g *group) queryFor(id string) *query {
 	q := g.queries[id]
 	if q == nil {
@@ -74,7 +74,7 @@
 	}
 }
 
-// callSettled counts down a keep-alive call that has arrived or never will, and informs the attempts.
+// callSettled records that a keep-alive call has arrived or never will, and informs the attempts.
 func (q *query) callSettled() {
 	q.unsettledCalls--
 	q.settledAt = q.group.fleet.Now()
@@ -92,9 +92,9 @@
 	}
 }
 
-// deleteUnanswered records that a DELETE got no answer. The DELETE may still arrive late and end the request's next attempt on
-// the same worker group, which then looks like an error of that attempt.
-func (q *query) deleteUnanswered() {
+// trackStrayDelete records that a DELETE got no response. The DELETE may still arrive late and end the request's next attempt
+// on the same worker group, which then looks like an error of that attempt.
+func (q *query) trackStrayDelete() {
 	q.strayDelete.Do = q.removeIfUnused
 	q.group.fleet.Deadlines.Set(&q.strayDelete, q.group.fleet.Now()+maxConnSilence+maxSegmentLifetime)
 }
@@ -119,16 +119,16 @@
 }
 
 // postSettled reports whether the POST has arrived or never will.
-func (a *attempt) postSettled() bool { return a.arrived || a.postCall.settled }
+func (a *attempt) postSettled() bool { return a.postArrived || a.postCall.settled }
 
-// endsAttempt reports whether a final answer to the call proves the end of this attempt; see the rules at the head of this file.
-func (a *attempt) endsAttempt(c *call, r *reply) bool {
-	return c == a.postCall || c.writtenAfterPost || r.hasResult() && a.Number == 0
+// endsAttempt reports whether a final response to the call proves the end of this attempt, by the rules at the head of this file.
+func (a *attempt) endsAttempt(c *call, r *response) bool {
+	return c == a.postCall || c.writtenAfterPostSettled || r.hasResult() && a.Number == 0
 }
 
 // finishIfDropped finishes the attempt if its worker group has been running since the time when it must have dropped the
-// query. If that is not known yet, it checks again later; a worker group that stays unresponsive for maxUnresponsive is
-// considered to have ended.
+// query, or refuses connections. If that is not known yet, it checks again later. Once maxUnresponsive has passed since the
+// latest keep-alive call was written, the query is considered dropped all the same.
 func (a *attempt) finishIfDropped() {
 	now, q := a.fleet.Now(), a.query
 	if a.group.lastRanAt < q.settledAt+unpolledTimeout && !a.group.refusing && now < q.writtenAt+maxUnresponsive {
--- a/internal/workergroup/end_proof_test.go
+++ b/internal/workergroup/end_proof_test.go
@@ -11,7 +11,7 @@
 	"thymeway/internal/transport"
 )
 
-// silentNetwork is a network whose worker groups accept connections and never answer.
+// silentNetwork is a network whose worker groups accept connections and never respond.
 type silentNetwork struct {
 	opened, open int
 	pendingDials []func()
@@ -35,7 +35,7 @@
 func (c *silentConn) Pending() int { return 0 }
 func (c *silentConn) Idle() bool   { return true }
 
-// countingWatcher counts the reports on attempts, by request.
+// countingListener counts the ended attempts and the overdue reports, by request.
 type countingListener struct {
 	ended, overdue map[string]int
 }
@@ -45,7 +45,7 @@
 func (l *countingListener) NoticeReceived(string, string, int, choice.NoticeKind, float64) {}
 func (l *countingListener) ProbeEnded(coordinator.Outcome)                                 {}
 
-// Guards against a leak: with worker groups that accept connections and never answer, silent connections are kept open and
+// Guards against a leak: with worker groups that accept connections and never respond, silent connections are kept open and
 // the end of attempts stays unproven. The connection limit must hold all the same, and in the end no attempt, connection, call
 // or deadline may be left.
 func TestPermanentlySilentWorkerGroups(t *testing.T) {
@@ -95,7 +95,7 @@
 		}
 	}
 	if posted < 20 {
-		t.Errorf("only %d attempts were written", posted)
+		t.Errorf("only %d attempts had their POST written", posted)
 	}
 	if fleet.InFlight() != 0 || fleet.connCount != 0 {
 		t.Errorf("%d attempts and %d connections are left", fleet.InFlight(), fleet.connCount)
--- a/internal/workergroup/fleet.go
+++ b/internal/workergroup/fleet.go
@@ -15,25 +15,25 @@
 
 // Timeouts, pauses (in milliseconds) and limits.
 const (
-	pollTimeout          = 650.0  // for the POST and for polls, which are answered after 250 ms at the latest
-	callTimeout          = 500.0  // for other calls
-	partialAnswerTimeout = 60.0   // for the rest of an answer after its first bytes
-	probeTimeout         = 250.0  // for a probe
-	unpolledTimeout      = 2000.0 // a worker group drops a query that was not polled for this long
-	unpolledSlack        = 350.0  // for network delay, and for the last answer that the worker group delays
-	retryPause           = 150.0  // between attempts to reach a silent worker group
-	reconnectPause       = 20.0   // before polling again after a broken connection
-	trailingBytesPause   = 4.0    // after a final answer, to see whether excess bytes follow before the connection is reused
-	refusedPause         = 50.0   // after a refused connection, before another one is opened
-	deleteDelay          = 30.0   // from a POST to the DELETE of its query, which must not overtake it on another connection
-	dropCheckInterval    = 250.0  // between checks whether a worker group has run since it must have dropped a query
-	maxUnresponsive      = 100e3  // a worker group may hang for this long and still resume its queries
-	maxConnSilence       = 100e3  // a silent connection is kept this long, the minimum for TCP to retry (RFC 1122, 4.2.3.5)
-	maxSegmentLifetime   = 120e3  // the network may deliver a segment this late (RFC 9293, 3.4.1)
-	maxConnResets        = 4      // consecutive connections reset while being established, before a call fails
-	maxInvalidAnswers    = 8      // consecutive invalid answers before a query is cancelled
-	maxPages             = 64     // of a result
-	maxResultBytes       = 48000  // of a whole result
+	pollTimeout            = 650.0  // for the POST and for polls, to which worker groups respond within 250 ms
+	callTimeout            = 500.0  // for other calls
+	partialResponseTimeout = 60.0   // for the rest of a response after its first bytes
+	probeTimeout           = 250.0  // for a probe
+	unpolledTimeout        = 2000.0 // a worker group drops a query that was not polled for this long
+	unpolledSlack          = 350.0  // for network delay, and for the last response that the worker group delays
+	retryPause             = 150.0  // before polling again without a response, or after one that may describe an earlier state
+	reconnectPause         = 20.0   // before calling again after a broken connection or an invalid response
+	trailingBytesPause     = 4.0    // after a response other than 202, to detect excess bytes before the connection is reused
+	refusedPause           = 50.0   // after a refused connection, before another one is opened
+	deleteDelay            = 30.0   // from a POST to the DELETE of its query, which must not overtake it on another connection
+	dropCheckInterval      = 250.0  // between checks whether a worker group has run since it must have dropped a query
+	maxUnresponsive        = 100e3  // a worker group may be unresponsive for this long and still resume its queries
+	maxConnSilence         = 100e3  // a silent connection is kept this long, the minimum for TCP to retry (RFC 1122, 4.2.3.5)
+	maxSegmentLifetime     = 120e3  // the network may deliver a segment this late (RFC 9293, 3.4.1)
+	maxFailedDials         = 4      // failed dials since the latest response that are tolerated before a reset dial fails a call
+	maxInvalidResponses    = 8      // consecutive invalid responses and failed page requests before a query is cancelled
+	maxPages               = 64     // of a result
+	maxResultBytes         = 48000  // of a whole result
 )
 
 // Fleet holds the worker groups named by the discovery service, and those that have disappeared from it but still have
@@ -44,8 +44,8 @@
 	Now             func() float64
 	Listener        coordinator.AttemptListener
 	Faults          *faultlog.FaultLog
-	ConnectTimeout  float64
-	ConnIdleTimeout float64 // after which an idle connection is closed
+	ConnectTimeout  float64 // in ms, for the wait for a connection
+	ConnIdleTimeout float64 // in ms, after which an idle connection is closed
 	MaxConns        int     // limit over all worker groups
 
 	groups      directory.Directory[*group]
@@ -137,7 +137,7 @@
 	}
 }
 
-// InFlight is the number of attempts that have not ended.
+// InFlight returns the number of attempts that have not ended.
 func (f *Fleet) InFlight() int { return len(f.attempts) }
 
 // Send starts an attempt.
@@ -154,11 +154,11 @@
 	}
 }
 
-// Probe asks a worker group for its load report.
+// Probe requests a worker group's load report and passes it to AttemptListener.ProbeEnded.
 func (f *Fleet) Probe(engine string) {
 	g, _ := f.groups.Get(engine)
 	sentAt := f.Now()
-	report := func(r *reply, reason transport.EndReason) {
+	done := func(r *response, reason transport.EndReason) {
 		outcome := coordinator.Outcome{Engine: engine, EndReason: reason, Duration: f.Now() - sentAt}
 		if r != nil {
 			outcome.Report = r.report
@@ -169,11 +169,11 @@
 		f.Listener.ProbeEnded(outcome)
 	}
 	if g == nil || g.Addr == "" {
-		report(nil, transport.Unreachable)
+		done(nil, transport.Unreachable)
 		return
 	}
 	g.start(&call{build: func() []byte { return buildRequest("GET", "/busy", g.Addr, "", nil) },
-		timeout: probeTimeout, done: report})
+		timeout: probeTimeout, done: done})
 }
 
 // buildRequest returns the bytes of an HTTP request; headers holds names and values in turn.
--- a/internal/workergroup/pool.go
+++ b/internal/workergroup/pool.go
@@ -13,51 +13,51 @@
 // call is one HTTP call to a worker group. done is called once, unless the call is abandoned. The connection of a call that
 // keeps a query alive stays open until the call is settled.
 type call struct {
-	group            *group
-	build            func() []byte // returns the bytes just before they are written; nil withdraws the call
-	timeout          float64       // for the answer, in ms from when the call is written
-	done             func(r *reply, e transport.EndReason)
-	lateAnswer       func(r *reply) // called with an answer that arrives after the timeout; nil ignores it
-	waitsForConn     bool           // concerns a query that may be running, so a refused connection does not fail it
-	keepsAlive       *query         // the query that the call keeps alive, if any
-	writtenAt        float64        // when the call was written
-	connNumber       int            // the connection that the call was written to, for the log
-	writtenAfterPost bool           // the call was written after the query's POST was settled
-	settled          bool           // the call has arrived at the worker group or never will
-	timer            deadline.Entry // limits the wait for a connection, then for the answer
+	group                   *group
+	build                   func() []byte // returns the bytes just before they are written; nil withdraws the call
+	timeout                 float64       // for the response, in ms from when the call is written
+	done                    func(r *response, e transport.EndReason)
+	onLateResponse          func(r *response) // called with a response that arrives after the timeout; nil ignores it
+	waitsForConn            bool              // concerns a query that may be running, so a refused connection does not fail it
+	keepsAlive              *query            // the query that the call keeps alive, if any
+	writtenAt               float64           // when the call was written
+	connNumber              int               // the connection that the call was written to, for the log
+	writtenAfterPostSettled bool              // the call was written after the query's POST was settled
+	settled                 bool              // the call has arrived at the worker group or never will
+	timer                   deadline.Entry    // ends the wait for a connection or for the response, or settles the call
 }
 
 // group holds the connections to one worker group and the calls that wait for a connection.
 type group struct {
 	directory.Record
-	fleet             *Fleet
-	idle              []*conn        // most recently used last
-	answering         *conn          // the connection whose answer is being processed
-	waiting           []*call        // in order of arrival
-	dialingCount      int            // connections being established
-	pausingCount      int            // connections that pause after an answer and are then free for the next call
-	connCount         int            // all connections, including those being established
-	silent            []*conn        // connections whose keep-alive call timed out, longest silent first
-	redialTimer       deadline.Entry // scheduled after a refused connection; no connection is opened before it fires
-	consecutiveResets int            // connections that were reset while being established
-	lastRanAt         float64        // when the latest answered call was written: the process was running then or later
-	refusing          bool           // the latest connection was refused; a process that only hangs would accept it
-	attemptCount      int
-	queries           map[string]*query // by request id
+	fleet          *Fleet
+	idle           []*conn        // most recently used last
+	respondingConn *conn          // the connection whose response is being processed
+	waiting        []*call        // in order of arrival
+	dialingCount   int            // connections being established
+	pausingCount   int            // connections that pause after a response and are then free for the next call
+	connCount      int            // all connections, including those being established
+	silent         []*conn        // connections whose keep-alive call timed out or got a malformed response, longest silent first
+	redialTimer    deadline.Entry // scheduled after a refused connection; no connection is opened before it fires
+	failedDials    int            // failures to establish a connection for a waiting call since the latest response
+	lastRanAt      float64        // when the latest call with a response was written: the process was running then or later
+	refusing       bool           // the latest connection was refused; an unresponsive process would accept it
+	attemptCount   int
+	queries        map[string]*query // by request id
 }
 
 // conn is a connection to a worker group.
 type conn struct {
-	group        *group
-	number       int // for the log
-	addr         string
-	transport    transport.Conn
-	parser       parser
-	call         *call
-	answerBegun  bool // part of an answer has arrived
-	ignoresInput bool // input is discarded: the connection is kept only to learn of its end
-	pausing      bool
-	timer        deadline.Entry // ends the pause, or closes the connection after a long idle or silent time
+	group         *group
+	number        int // for the log
+	addr          string
+	transport     transport.Conn
+	parser        parser
+	call          *call
+	responseBegun bool // part of a response has arrived
+	ignoresInput  bool // input is discarded: the connection is kept only to learn of its end
+	pausing       bool
+	timer         deadline.Entry // ends the pause, or closes the connection after a long idle or silent time
 }
 
 // start writes a call to an idle connection, or queues it until a connection is established or becomes free.
@@ -67,8 +67,8 @@
 		c.done(nil, transport.ConnRefused)
 		return
 	}
-	if cn := g.answering; cn != nil {
-		g.answering = nil
+	if cn := g.respondingConn; cn != nil {
+		g.respondingConn = nil
 		cn.writeCall(c)
 		return
 	}
@@ -94,8 +94,8 @@
 	g.dial()
 }
 
-// dial opens a connection if a waiting call has none under way and the connection limit allows it. Otherwise the call takes a
-// connection that becomes free, or times out.
+// dial opens a connection if more calls wait than connections are being established or pause, and if the connection limit
+// allows it. Otherwise a waiting call takes a connection that becomes free, or times out.
 func (g *group) dial() {
 	if g.dialingCount+g.pausingCount >= len(g.waiting) || g.redialTimer.Scheduled() || !g.fleet.ensureConnCapacity() {
 		return
@@ -171,7 +171,7 @@
 	}
 }
 
-// CloseIdle closes the idle connections, as the worker group was removed or its address has changed hands.
+// CloseIdle closes the idle connections, as the worker group was removed or another process has its address.
 func (g *group) CloseIdle() {
 	for len(g.idle) > 0 {
 		cn := g.idle[0]
@@ -180,10 +180,10 @@
 	}
 }
 
-// abandon ignores the outcome of a call. If it was written already, its answer is still read from the connection and dropped.
+// abandon discards the outcome of a call. If the call was written already, its response is still read from the connection.
 func (c *call) abandon() {
 	if !c.group.removeWaiting(c) {
-		c.done = func(*reply, transport.EndReason) {}
+		c.done = func(*response, transport.EndReason) {}
 	}
 }
 
@@ -209,9 +209,9 @@
 			return
 		}
 		done := c.done
-		c.done = func(r *reply, _ transport.EndReason) {
-			if r != nil && c.lateAnswer != nil {
-				c.lateAnswer(r)
+		c.done = func(r *response, _ transport.EndReason) {
+			if r != nil && c.onLateResponse != nil {
+				c.onLateResponse(r)
 			}
 		}
 		cn.keepSilent()
@@ -295,7 +295,7 @@
 	g.fleet.dialForWaiting()
 }
 
-// endPause ends the pause after an answer.
+// endPause ends the pause after a response.
 func (cn *conn) endPause() {
 	if cn.pausing {
 		cn.pausing = false
@@ -336,16 +336,16 @@
 	cn.group.fleet.connCount--
 }
 
-// Opened implements transport.Handler: the connection was established.
-func (cn *conn) Opened(c transport.Conn) {
+// Opened implements transport.Handler: it makes the established connection available for calls.
+func (cn *conn) Opened(transportConn transport.Conn) {
 	cn.group.dialingCount--
 	cn.group.refusing = false
-	cn.transport = c
+	cn.transport = transportConn
 	cn.makeAvailable(0)
 	cn.group.retryDeletes()
 }
 
-// Received implements transport.Handler: it parses bytes of an answer and completes the call with it.
+// Received implements transport.Handler: it parses received bytes and completes the call once its response is complete.
 func (cn *conn) Received(b []byte) {
 	f := cn.group.fleet
 	if cn.ignoresInput {
@@ -364,37 +364,37 @@
 		return
 	}
 	if r == nil {
-		if !cn.answerBegun && !slices.Contains(cn.group.silent, cn) {
-			// A truncated answer looks like a slow one, so the rest of an answer has a short timeout of its own.
-			cn.answerBegun = true
-			f.Deadlines.Set(&cn.call.timer, f.Now()+partialAnswerTimeout)
+		if !cn.responseBegun && !slices.Contains(cn.group.silent, cn) {
+			// A truncated response looks like a slow one, so the rest of a response has a short timeout of its own.
+			cn.responseBegun = true
+			f.Deadlines.Set(&cn.call.timer, f.Now()+partialResponseTimeout)
 		}
 		return
 	}
-	cn.answerBegun = false
+	cn.responseBegun = false
 	cn.removeSilent()
 	c := cn.call
 	cn.call = nil
 	f.Deadlines.Cancel(&c.timer)
-	cn.group.consecutiveResets, cn.group.lastRanAt = 0, max(cn.group.lastRanAt, c.writtenAt)
+	cn.group.failedDials, cn.group.lastRanAt = 0, max(cn.group.lastRanAt, c.writtenAt)
 	c.settle()
 	if r.closeConn {
 		cn.close()
 		c.done(r, transport.Served)
 		return
 	}
-	// The answer is processed before the connection is made available, so that a follow-up call uses it and opens no new one.
-	cn.group.answering = cn
+	// The response is processed before the connection is made available, so that a follow-up call uses it and opens no new one.
+	cn.group.respondingConn = cn
 	c.done(r, transport.Served)
-	if cn.group.answering != cn {
+	if cn.group.respondingConn != cn {
 		return
 	}
-	cn.group.answering = nil
+	cn.group.respondingConn = nil
 	if r.status == 202 {
 		cn.makeAvailable(0)
 	} else {
-		// A second copy of the answer may follow. Without the pause it would be read as the answer to the next call, for
-		// example as the end of another query or as the answer to a DELETE.
+		// A second copy of the response may follow. Without the pause it would be read as the response to the next call, for
+		// example as the end of another query or as the response to a DELETE.
 		cn.makeAvailable(trailingBytesPause)
 	}
 }
@@ -416,14 +416,14 @@
 		cn.keepSilent()
 	}
 	done := c.done
-	c.done = func(*reply, transport.EndReason) {}
+	c.done = func(*response, transport.EndReason) {}
 	done(nil, transport.Malformed)
 }
 
-// closeAnswering closes the connection whose answer is being processed, as that answer was invalid.
-func (g *group) closeAnswering() {
-	if cn := g.answering; cn != nil {
-		g.answering = nil
+// closeRespondingConn closes the connection whose response is being processed, as that response was invalid.
+func (g *group) closeRespondingConn() {
+	if cn := g.respondingConn; cn != nil {
+		g.respondingConn = nil
 		cn.close()
 	}
 }
@@ -462,8 +462,8 @@
 	// If more calls wait than connections are being established, this connection counts as the one of the first waiting call.
 	if len(g.waiting) > g.dialingCount && cn.addr == g.Addr {
 		// A connection that was reset while being established says nothing about the worker group, so another one is opened.
-		if g.consecutiveResets++; reason == transport.ConnRefused || reason == transport.Unreachable ||
-			g.consecutiveResets > maxConnResets {
+		if g.failedDials++; reason == transport.ConnRefused || reason == transport.Unreachable ||
+			g.failedDials > maxFailedDials {
 			g.failFirstWaiting(reason)
 		}
 	}
--- a/internal/workergroup/reply.go
+++ b/internal/workergroup/response.go
@@ -11,21 +11,21 @@
 	"thymeway/internal/http1"
 )
 
-// Limits of an answer, in bytes unless said otherwise.
+// Limits of a response, in bytes unless stated otherwise.
 const (
-	maxHeadBytes      = 16 << 10
-	maxBodyBytes      = 64 << 10
-	maxInterimAnswers = 16      // number of 1xx answers ahead of the final one
-	maxIdleBuffer     = 8 << 10 // a larger input buffer is released between two answers
+	maxHeadBytes        = 16 << 10
+	maxBodyBytes        = 64 << 10
+	maxInterimResponses = 16      // number of responses with status 1xx before the final one
+	maxIdleBuffer       = 8 << 10 // a larger input buffer is released between two responses
 )
 
-// reply is one parsed answer of a worker group.
-type reply struct {
+// response is a parsed HTTP response of a worker group.
+type response struct {
 	status     int
 	noEffect   bool    // X-No-Effect: the query has not run
 	pageCount  int     // Page-Count, 0 if absent
 	pageNumber int     // Page-No, -1 if absent
-	notice     string  // X-Tell: the kind of a progress notice
+	notice     string  // X-Tell: the kind of a progress notice, "" if there is none
 	level      float64 // Figure: the level that the notice states
 	workMs     float64 // Work-Ms: CPU time of the query
 	peakMB     float64 // Peak-Mb: peak memory of the query
@@ -34,29 +34,29 @@
 	body       []byte
 }
 
-// hasResult reports whether the answer is the valid first page of a result; further pages may still have to be fetched.
-func (r *reply) hasResult() bool {
+// hasResult reports whether the response is the valid first page of a result; further pages may still have to be fetched.
+func (r *response) hasResult() bool {
 	return r.status == 200 && r.pageCount > 0 && r.pageCount <= maxPages && validRows(r.body, r.pageCount == 1)
 }
 
-// endsWithoutResult reports whether the answer is an error, as it is also sent for an unknown query, or a rejection without
+// endsWithoutResult reports whether the response is an error, which is also sent for an unknown query, or a rejection without
 // effect. The protocol has no other status for an end without a result.
-func (r *reply) endsWithoutResult() bool {
+func (r *response) endsWithoutResult() bool {
 	return r.status == 500 || r.noEffect && (r.status == 503 || r.status == 504)
 }
 
-// parser assembles the bytes of a connection into whole answers.
+// parser assembles the bytes of a connection into complete responses.
 type parser struct {
-	buf            []byte
-	head           *http1.Head // of the answer whose body is being received; else nil
-	body           *http1.BodyDecoder
-	bodyBytes      []byte
-	interimAnswers int
+	buf              []byte
+	head             *http1.Head // of the response whose body is being received; else nil
+	body             *http1.BodyDecoder
+	bodyBytes        []byte
+	interimResponses int
 }
 
-// feed adds received bytes and returns the answer that they complete, or nil. As a connection carries one call at a time,
-// bytes behind an answer belong to no call: the answer is valid, but the connection must be closed.
-func (p *parser) feed(b []byte) (*reply, error) {
+// feed adds received bytes and returns the response that they complete, or nil. As a connection carries one call at a time,
+// bytes after a response belong to no call: the response is valid, but the connection must be closed.
+func (p *parser) feed(b []byte) (*response, error) {
 	p.buf = append(p.buf, b...)
 	for p.head == nil {
 		head, headBytes, err := http1.ParseResponse(p.buf, http1.Limits{MaxBytes: maxHeadBytes})
@@ -67,9 +67,9 @@
 			return nil, err
 		}
 		p.buf = append(p.buf[:0], p.buf[headBytes:]...)
-		if head.Status/100 == 1 { // an interim answer; the final one follows
-			if p.interimAnswers++; p.interimAnswers > maxInterimAnswers || head.Status == 101 {
-				return nil, fmt.Errorf("unexpected interim answer with status %d", head.Status)
+		if head.Status/100 == 1 { // an interim response; the final one follows
+			if p.interimResponses++; p.interimResponses > maxInterimResponses || head.Status == 101 {
+				return nil, fmt.Errorf("unexpected interim response with status %d", head.Status)
 			}
 			continue
 		}
@@ -87,13 +87,13 @@
 	if !p.body.Done() {
 		return nil, nil
 	}
-	r := &reply{status: p.head.Status, pageNumber: -1, closeConn: p.head.Close || len(p.buf) > 0, body: p.bodyBytes}
+	r := &response{status: p.head.Status, pageNumber: -1, closeConn: p.head.Close || len(p.buf) > 0, body: p.bodyBytes}
 	for _, f := range p.head.Fields {
 		if err := r.setHeader(f.Name, f.Value); err != nil {
 			return nil, fmt.Errorf("header %s: %v", f.Name, err)
 		}
 	}
-	p.head, p.body, p.bodyBytes, p.interimAnswers = nil, nil, nil, 0
+	p.head, p.body, p.bodyBytes, p.interimResponses = nil, nil, nil, 0
 	if p.buf = p.buf[:0]; cap(p.buf) > maxIdleBuffer {
 		p.buf = nil
 	}
@@ -101,7 +101,7 @@
 }
 
 // setHeader stores a header of the protocol; others are ignored.
-func (r *reply) setHeader(name, value string) (err error) {
+func (r *response) setHeader(name, value string) (err error) {
 	switch name {
 	case "x-no-effect":
 		r.noEffect = value == "1"
@@ -149,25 +149,25 @@
 		return r, nil
 	}
 	for _, pair := range strings.FieldsFunc(s, func(c rune) bool { return c == ';' || c == ',' }) {
-		k, text, ok := strings.Cut(strings.TrimSpace(pair), ":")
+		name, text, ok := strings.Cut(strings.TrimSpace(pair), ":")
 		if !ok {
 			return r, fmt.Errorf("%.40q is not name:value", pair)
 		}
-		v, err := parseNumber(strings.TrimSpace(text))
+		value, err := parseNumber(strings.TrimSpace(text))
 		if err != nil {
 			return r, err
 		}
-		switch k {
+		switch name {
 		case "util", "busy":
-			r.Busy, r.HasBusy = v, true
+			r.Busy, r.HasBusy = value, true
 		case "inflight", "rif":
-			r.InFlight, r.HasInFlight = v, true
+			r.InFlight, r.HasInFlight = value, true
 		case "queue", "q":
-			r.Queue, r.HasQueue = v, true
+			r.Queue, r.HasQueue = value, true
 		case "x0":
-			r.MemShare, r.HasMemShare = v, true
+			r.MemShare, r.HasMemShare = value, true
 		case "x1":
-			r.DiskShare, r.HasDiskShare = v, true
+			r.DiskShare, r.HasDiskShare = value, true
 		}
 	}
 	return r, nil
